--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use stairhinge::request::{Attempts, Keys, Rings};
 use stairhinge::serving::{Bound, PauseGuard};
-use stairhinge::weights::{Manifest, Store};
+use stairhinge::weights::{ChunkStore, Manifest};
 use stairhinge::{Digest, Time};
 use stairhinge_shell::node::Node;
 use stairhinge_shell::{Shaper, Shutdown};
@@ -40,7 +40,7 @@
     pub(crate) node: Arc<Node>,
     pub(crate) settings: Settings,
     pub(crate) start: Time,
-    pub(crate) store: Mutex<Store<Bytes>>,
+    pub(crate) store: Mutex<ChunkStore<Bytes>>,
     pub(crate) arrived: watch::Sender<u64>,
     pub(crate) attempts: Mutex<Attempts>,
     pub(crate) keys: Mutex<Keys>,
@@ -69,7 +69,9 @@
         let attempts = Attempts::new(node.incarnation(), keep, most);
         Arc::new(Agent {
             start,
-            store: Mutex::new(Store::new(values.number("store_mb") << 20)),
+            store: Mutex::new(ChunkStore::new(
+                values.number("store_mb") << 20,
+            )),
             arrived: watch::channel(0).0,
             attempts: Mutex::new(attempts),
             // The window comes with the first declaration; until then no
@@ -148,7 +150,7 @@
         true
     }
 
-    pub(crate) fn store(&self) -> MutexGuard<'_, Store<Bytes>> {
+    pub(crate) fn store(&self) -> MutexGuard<'_, ChunkStore<Bytes>> {
         lock(&self.store)
     }
 
--- a/crates/agent/src/fetch.rs
+++ b/crates/agent/src/fetch.rs
@@ -13,7 +13,7 @@
 use stairhinge::document::members;
 use stairhinge::serving::Target;
 use stairhinge::weights::{
-    Chunk, ChunkRequest, Manifest, Puller, Source, Walk,
+    Chunk, ChunkRequest, Manifest, Puller, Source, SourceRanking,
 };
 use stairhinge::{Code, Digest, Error, rank};
 use stairhinge_shell::http::{Body, empty, full, headers};
@@ -54,7 +54,7 @@
     let mut heads = Vec::new();
     for digest in manifests {
         // The size of a manifest is not declared; its digest is.
-        heads.push(Chunk::named(*digest, MOST_MANIFEST));
+        heads.push(Chunk::with_digest(*digest, MOST_MANIFEST));
     }
     draw(agent, target, &heads, &[]).await?;
     let mut chunks = Vec::new();
@@ -66,7 +66,7 @@
         size += manifest.size();
         chunks.extend_from_slice(manifest.chunks());
     }
-    agent.store().fits(size)?;
+    agent.store().check_fits(size)?;
     draw(agent, target, &chunks, manifests).await
 }
 
@@ -86,7 +86,7 @@
     let mut asked = FuturesUnordered::new();
     let mut bytes_in = 0u64;
     let start = Instant::now();
-    while !puller.done() {
+    while !puller.is_complete() {
         let now = agent.node.now();
         for ask in puller.poll(now) {
             asked.push(one(Arc::clone(agent), ask, manifests.to_vec()));
@@ -103,7 +103,7 @@
         let Some((source, answered)) = done else { continue };
         let got = take(agent, &mut puller, &source, answered);
         bytes_in += got;
-        let share = puller.share();
+        let share = puller.held_permille();
         let secs = start.elapsed().as_secs_f64().max(0.001);
         agent.paced(share, (bytes_in as f64 / secs / 1000.0) as u32);
     }
@@ -126,7 +126,8 @@
     for digest in target.manifests() {
         subject.extend_from_slice(digest.as_bytes());
     }
-    let walk = Walk::new(&subject, &halls, &me.hall, &me.name, budget);
+    let walk =
+        SourceRanking::new(&subject, &halls, &me.hall, &me.name, budget);
     let strategy = agent.settings.values.text("strategy");
     let walk = match &*strategy {
         "direct" => walk.direct(),
@@ -134,7 +135,7 @@
         _ => walk,
     };
     let turn = rank::score(&subject, &me.name) as usize % chunks.len().max(1);
-    Puller::new(walk, chunks, patience, turn, |d| agent.store().holds(d))
+    Puller::new(walk, chunks, patience, turn, |d| agent.store().contains(d))
 }
 
 fn take(
@@ -155,16 +156,16 @@
             let code = err.code().to_string();
             let fields = [("from", name), ("code", code.as_str())];
             agent.node.event("weights.failed", &fields);
-            puller.failed(source, now);
+            puller.record_failure(source, now);
             return 0;
         }
     };
     if let Some(held) = answered.held {
-        puller.learn(source, held.into_iter());
+        puller.record_holdings(source, held.into_iter());
     }
     let (digest, bytes) = match answered.answer {
         Answer::NotYet => {
-            puller.waited(source, now);
+            puller.record_not_yet(source, now);
             return 0;
         }
         Answer::Chunk(digest, bytes) => (digest, bytes),
@@ -172,7 +173,7 @@
     let size = bytes.len() as u64;
     match agent.keep(digest, bytes) {
         Ok(()) => {
-            puller.got(source, &digest);
+            puller.record_chunk(source, &digest);
             agent.node.metrics().received(kind(source), size);
             agent.drew(name);
             size
@@ -182,7 +183,7 @@
                 agent.node.metrics().spoiled(kind(source));
             }
             agent.note(&format!("left {name}: {err}"));
-            puller.failed(source, now);
+            puller.record_failure(source, now);
             0
         }
     }
@@ -245,7 +246,7 @@
     let found = view.listing.get(name).map(|i| i.http);
     let gone = || Error::new(Code::NoSource, format!("{name} is not listed"));
     let addr = found.ok_or_else(gone)?;
-    let asked = if ask.hello() { manifests } else { &[] };
+    let asked = if ask.is_first_contact() { manifests } else { &[] };
     let question = Question {
         want: ask.want().to_vec(),
         hold_ms: ask.hold().as_millis() as u64,
--- a/crates/agent/src/settings.rs
+++ b/crates/agent/src/settings.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use stairhinge::declaration::Faults;
-use stairhinge::weights::Patience;
+use stairhinge::weights::FetchTimeouts;
 use stairhinge_shell::settings::{Field, Shape, Values, common};
 
 /// Returns the table of all fields of an agent's settings.
@@ -157,11 +157,11 @@
     }
 
     /// Returns how long sources of chunks are put up with.
-    pub fn patience(&self) -> Patience {
-        Patience::new()
+    pub fn patience(&self) -> FetchTimeouts {
+        FetchTimeouts::new()
             .with_hold(self.values.millis("hold_ms"))
-            .with_waiting(self.values.millis("waiting_ms"))
-            .with_suspect(self.values.millis("suspect_ms"))
+            .with_not_yet_limit(self.values.millis("waiting_ms"))
+            .with_suspicion(self.values.millis("suspect_ms"))
     }
 
     /// Returns the span without a byte that ends a transfer.
--- a/crates/agent/src/weights.rs
+++ b/crates/agent/src/weights.rs
@@ -100,7 +100,7 @@
         for manifest in &found {
             for chunk in manifest.chunks() {
                 if seen.insert(chunk.digest()) {
-                    bits.push(store.holds(&chunk.digest()));
+                    bits.push(store.contains(&chunk.digest()));
                 }
             }
         }
--- a/crates/bench/src/distribute.rs
+++ b/crates/bench/src/distribute.rs
@@ -5,7 +5,7 @@
 use argh::FromArgs;
 use serde_json::json;
 use stairhinge::declaration::Prefer;
-use stairhinge::weights::{Bound, Link};
+use stairhinge::weights::{DistributionBound, Duplex};
 use stairhinge_local::{Local, Plan};
 use stairhinge_shell::http::Client;
 use stairhinge_standins::{EngineSettings, Pack, weights};
@@ -131,13 +131,15 @@
 }
 
 fn limit(args: &Args) -> f64 {
-    let link = if args.link == "total" { Link::Total } else { Link::Each };
+    let link = if args.link == "total" { Duplex::Half } else { Duplex::Full };
     let window = Duration::from_secs_f64(args.window_s);
     let copies = match args.prefer.as_str() {
         "origin" => 1.0,
-        _ => Bound::ORIGIN_COPIES,
+        _ => DistributionBound::ORIGIN_COPIES,
     };
-    Bound::new(args.replicas as u32, window, link).least(copies).as_secs_f64()
+    DistributionBound::new(args.replicas as u32, window, link)
+        .min_duration(copies)
+        .as_secs_f64()
 }
 
 fn plan(args: &Args) -> Plan {
--- a/crates/chunks/src/draw.rs
+++ b/crates/chunks/src/draw.rs
@@ -57,7 +57,7 @@
     }
     let question = Question {
         want,
-        tell: question.tell(),
+        tell: question.is_holdings_only(),
         hold_ms: question.hold().as_millis() as u64,
         model: manifest.model.clone(),
         version: manifest.version,
@@ -76,9 +76,9 @@
     answer: Result<PeerAnswer, Error>,
 ) -> Result<bool, Error> {
     let answer = answer?;
-    puller.learn(source, answer.held.into_iter());
+    puller.record_holdings(source, answer.held.into_iter());
     let Some((place, bytes)) = answer.chunk else {
-        puller.waited(source, drawing.facts.now());
+        puller.record_not_yet(source, drawing.facts.now());
         return Ok(false);
     };
     let nothing = || Error::new(Code::Internal, "no such chunk");
@@ -88,7 +88,7 @@
         return Err(Error::new(Code::CorruptChunk, why));
     }
     keep(drawing, owner, manifest, digest, bytes).await;
-    puller.got(source, &digest);
+    puller.record_chunk(source, &digest);
     Ok(true)
 }
 
--- a/crates/chunks/src/fetch.rs
+++ b/crates/chunks/src/fetch.rs
@@ -4,7 +4,7 @@
 
 use futures::StreamExt as _;
 use futures::stream::FuturesUnordered;
-use stairhinge::weights::{Puller, QuestionQueue, Source};
+use stairhinge::weights::{Puller, RequestQueue, Source};
 use stairhinge::{Code, Error};
 use stairhinge_shell::decisions::Decision;
 
@@ -73,11 +73,11 @@
     let mut spoilt = 0;
     let mut known = Sources::of(owner, manifest);
     let mut puller = known.puller(drawing, owner, manifest);
-    let mut ready = QuestionQueue::new();
+    let mut ready = RequestQueue::new();
     let mut asked = FuturesUnordered::new();
     let mut logged = Instant::now();
     let mut listed_next = started + RELIST;
-    while !puller.done() {
+    while !puller.is_complete() {
         let now = facts.now();
         for question in puller.poll(now) {
             ready.push(question);
@@ -108,7 +108,7 @@
                 Ok(false) => {}
                 Err(error) => {
                     log_failure(facts, source.name(), &error);
-                    puller.failed(&source, facts.now());
+                    puller.record_failure(&source, facts.now());
                     if source == Source::Origin {
                         owner.origin_failed();
                     }
@@ -132,7 +132,7 @@
         let now = Sources::of(owner, manifest);
         if now != known {
             known = now;
-            puller.set_walk(known.walk(drawing, manifest));
+            puller.set_ranking(known.walk(drawing, manifest));
         }
     }
     facts.log().write(&Decision::FetchDone {
@@ -147,10 +147,10 @@
 }
 
 fn log_progress(drawing: &Drawing, owner: &dyn ChunkOwner, puller: &Puller) {
-    let (asked, suspects) = puller.standing(drawing.facts.now());
+    let (asked, suspects) = puller.pending_and_suspect(drawing.facts.now());
     let (link_part, uplink_part) = owner.link_parts();
     drawing.facts.log().write(&Decision::FetchProgress {
-        share: puller.share(),
+        share: puller.held_permille(),
         missing: puller.missing().take(MOST_LOGGED).collect(),
         link_part,
         uplink_part,
--- a/crates/chunks/src/find_manifest.rs
+++ b/crates/chunks/src/find_manifest.rs
@@ -97,7 +97,7 @@
             ManifestSource::Agent(asked) => {
                 let none = || Error::new(Code::NoSource, "no peer is listed");
                 let addr = *ranked.get(asked).ok_or_else(none)?;
-                let draws = place < ManifestSource::DRAWERS;
+                let draws = place < ManifestSource::ORIGIN_FETCHERS;
                 self.of(addr, if draws { SHORT_HOLD } else { HOLD }).await
             }
         }
--- a/crates/chunks/src/sources.rs
+++ b/crates/chunks/src/sources.rs
@@ -5,7 +5,9 @@
 use std::time::Duration;
 
 use stairhinge::rank;
-use stairhinge::weights::{Chunk, Patience, Puller, Takeover, Walk};
+use stairhinge::weights::{
+    Chunk, FetchTimeouts, Puller, SourceRanking, Takeover,
+};
 
 use crate::manifest::VersionManifest;
 use crate::owner::{ChunkOwner, Drawing, Peer};
@@ -66,7 +68,7 @@
         &self,
         drawing: &Drawing,
         manifest: &VersionManifest,
-    ) -> Walk {
+    ) -> SourceRanking {
         let me: Arc<str> = Arc::from(drawing.addr.to_string());
         let mut halls: Vec<(Arc<str>, Vec<Arc<str>>)> = Vec::new();
         for (hall, addr) in &self.peers {
@@ -78,11 +80,17 @@
         }
         let subject = subject(manifest);
         let hall = &drawing.hall;
-        Walk::new(subject.as_bytes(), &halls, hall, &me, ORIGIN_COPIES)
-            .with_fanout(FANOUT)
-            .with_caches(names(&self.caches))
-            .with_holders(names(&self.holders))
-            .with_part_holders(names(&self.part_holders))
+        SourceRanking::new(
+            subject.as_bytes(),
+            &halls,
+            hall,
+            &me,
+            ORIGIN_COPIES,
+        )
+        .with_fanout(FANOUT)
+        .with_caches(names(&self.caches))
+        .with_holders(names(&self.holders))
+        .with_partial_holders(names(&self.part_holders))
     }
 
     /// Returns a puller of what is missing of a version.
@@ -94,17 +102,17 @@
     ) -> Puller {
         let mut chunks = Vec::new();
         for digest in &manifest.digests {
-            chunks.push(Chunk::named(*digest, manifest.chunk_bytes));
+            chunks.push(Chunk::with_digest(*digest, manifest.chunk_bytes));
         }
         let me = drawing.addr.to_string();
         let turn = rank::score(subject(manifest).as_bytes(), &me) as usize;
         let turn = turn % chunks.len().max(1);
-        let patience = Patience::new()
+        let patience = FetchTimeouts::new()
             .with_hold(Duration::from_millis(800))
-            .with_waiting(NEVER)
-            .with_suspect(Duration::from_millis(2_000))
+            .with_not_yet_limit(NEVER)
+            .with_suspicion(Duration::from_millis(2_000))
             .with_takeover(TAKEOVER)
-            .with_origin_pace(owner.origin_pace(manifest.chunk_bytes));
+            .with_origin_interval(owner.origin_pace(manifest.chunk_bytes));
         let walk = self.walk(drawing, manifest);
         let holdings = &drawing.holdings;
         Puller::new(walk, &chunks, patience, turn, |d| holdings.holds(d))
--- a/crates/loader/src/fetch_owner.rs
+++ b/crates/loader/src/fetch_owner.rs
@@ -56,7 +56,7 @@
     }
 
     fn questions(&self, most: usize) -> usize {
-        self.agent.link_share().questions(most)
+        self.agent.link_share().max_requests(most)
     }
 
     fn pace(&self) -> Option<FetchPace> {
@@ -89,7 +89,7 @@
 
     fn link_parts(&self) -> (f64, f64) {
         let share = *self.agent.link_share();
-        (share.part(), share.uplink())
+        (share.download(), share.upload())
     }
 }
 
--- a/crates/loader/src/serve.rs
+++ b/crates/loader/src/serve.rs
@@ -81,7 +81,7 @@
         let question = ChunkServer::question(request).await?;
         let share = *self.agent.link_share();
         if share.is_poor() {
-            let why = format!("chunks may take {:.2} of it", share.uplink());
+            let why = format!("chunks may take {:.2} of it", share.upload());
             return Err(Error::new(Code::PoorLink, why));
         }
         let response = self.chunks.any(&question).await?;
--- a/crates/loader/src/succession.rs
+++ b/crates/loader/src/succession.rs
@@ -4,7 +4,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use stairhinge::weights::{ChunkTimes, Prospect, choose_version};
+use stairhinge::weights::{
+    ChunkTransferTimes, VersionCandidate, choose_version,
+};
 use stairhinge_chunks::{Standing, standing};
 use stairhinge_shell::directory;
 
@@ -97,7 +99,7 @@
     cache: SocketAddr,
     wanted: &Wanted,
     draw: bool,
-) -> Option<Prospect> {
+) -> Option<VersionCandidate> {
     let (model, version) = (&wanted.model, wanted.version);
     let left = left(agent, model, version);
     if left.is_zero() {
@@ -113,13 +115,13 @@
     let stuck = is_stuck(&near);
     let served = !stuck && served_near(agent, wanted).contains(&version);
     let held = if served { chunks } else { near.held.max(here) };
-    Some(Prospect {
+    Some(VersionCandidate {
         version,
         missing: chunks.saturating_sub(here),
-        outside: chunks.saturating_sub(held),
-        stuck,
-        due: turn.pauses_at().map_or(Duration::ZERO, |at| at.since(now)),
-        left,
+        missing_in_hall: chunks.saturating_sub(held),
+        stalled: stuck,
+        due_in: turn.pauses_at().map_or(Duration::ZERO, |at| at.since(now)),
+        servable_for: left,
     })
 }
 
@@ -139,7 +141,7 @@
 
 /// Returns how long links take for a chunk. An origin that does not tell what
 /// its link carries is taken to have one like this instance's.
-fn chunk_times(agent: &Agent, wanted: &Wanted) -> ChunkTimes {
+fn chunk_times(agent: &Agent, wanted: &Wanted) -> ChunkTransferTimes {
     let (model, version) = (&wanted.model, wanted.version);
     let manifest = agent.holdings.manifest(model, version);
     let bytes = manifest.map_or(0, |m| m.chunk_bytes);
@@ -147,5 +149,5 @@
     let view = agent.facts.view();
     let origin = view.routes.as_ref().and_then(|r| r.origin());
     let origin = origin.and_then(|o| o.transfer(bytes)).unwrap_or(link);
-    ChunkTimes { link, origin }
+    ChunkTransferTimes { link, origin }
 }
--- a/crates/loader/src/watch_link.rs
+++ b/crates/loader/src/watch_link.rs
@@ -64,9 +64,9 @@
 
 fn sample(agent: &Agent, delay: Duration) {
     let mut share = agent.link_share();
-    share.sample(delay);
+    share.record_delay(delay);
     let ms = delay.as_millis() as u32;
     agent.link_ms.store(ms, Ordering::Relaxed);
-    let rate = agent.live.get().chunk_rate() as f64 * share.uplink();
+    let rate = agent.live.get().chunk_rate() as f64 * share.upload();
     agent.uplink.set_rate(rate as u64);
 }
--- a/crates/shell/src/rate.rs
+++ b/crates/shell/src/rate.rs
@@ -4,13 +4,13 @@
 use std::time::Instant;
 
 use stairhinge::Time;
-use stairhinge::weights::Bucket;
+use stairhinge::weights::TokenBucket;
 
 /// Shapes what goes over one link; clones share it.
 #[derive(Clone, Debug)]
 pub struct Shaper {
     start: Instant,
-    bucket: Arc<Mutex<Bucket>>,
+    bucket: Arc<Mutex<TokenBucket>>,
     turn: Arc<tokio::sync::Mutex<()>>,
 }
 
@@ -24,7 +24,7 @@
     /// Returns a shaper to `rate` bytes a second; 0 does not shape.
     pub fn new(rate: u64) -> Shaper {
         let burst = (rate * Shaper::BURST_MS / 1000).max(Shaper::LEAST_BURST);
-        let bucket = Arc::new(Mutex::new(Bucket::new(rate, burst)));
+        let bucket = Arc::new(Mutex::new(TokenBucket::new(rate, burst)));
         Shaper { start: Instant::now(), bucket, turn: Arc::default() }
     }
 
@@ -33,7 +33,7 @@
         self.lock().set_rate(rate);
     }
 
-    fn lock(&self) -> MutexGuard<'_, Bucket> {
+    fn lock(&self) -> MutexGuard<'_, TokenBucket> {
         // A bucket is a few numbers; there is no broken state.
         self.bucket.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -13,7 +13,7 @@
 use hyper::{Method, Request, Response, StatusCode};
 use stairhinge::Time;
 use stairhinge::document::{Kind, Listing};
-use stairhinge::weights::Bucket;
+use stairhinge::weights::TokenBucket;
 use stairhinge_shell::http::{Body, Handler, answer, empty, full, read};
 use tokio::sync::watch;
 
@@ -38,7 +38,7 @@
     fresh: Published,
     stale: Published,
     past: HashMap<(Kind, u64), Bytes>,
-    bucket: Bucket,
+    bucket: TokenBucket,
 }
 
 /// The platform's service: `GET /v1/{config,instances}?above=N&wait_ms=N`,
@@ -63,7 +63,7 @@
             fresh: HashMap::new(),
             stale: HashMap::new(),
             past: HashMap::new(),
-            bucket: Bucket::new(Platform::RATE, Platform::RATE),
+            bucket: TokenBucket::new(Platform::RATE, Platform::RATE),
         };
         Arc::new(Platform {
             start: Instant::now(),
--- a/src/weights.rs
+++ b/src/weights.rs
@@ -1,7 +1,7 @@
 //! How weights reach every replica.
 //!
 //! There is no coordinator and nobody announces what it holds. A version is a
-//! [`Manifest`] of chunks named by digest; a [`Walk`] ranks, for each chunk,
+//! [`Manifest`] of chunks named by digest; a [`SourceRanking`] ranks, for each chunk,
 //! who may be asked for it, the same on every process; a [`Puller`] asks each
 //! source for any of the chunks that it is first in charge of, and the source
 //! answers as soon as it holds one. A source that fails or stays silent is
@@ -9,33 +9,35 @@
 //! seed costs time and not a herd of draws on the origin. `DESIGN.md` has
 //! what was weighed.
 
-mod bound;
-mod bucket;
 mod chunk_request;
+mod chunk_store;
+mod distribution_bound;
 mod fetch_pace;
+mod fetch_timeouts;
 mod link_share;
 mod manifest;
 mod manifest_source;
-mod patience;
 mod puller;
-mod question_queue;
-mod store;
-mod succession;
-mod walk;
+mod request_queue;
+mod source_ranking;
+mod token_bucket;
+mod version_choice;
 
-pub use self::bound::{Bound, Link};
-pub use self::bucket::Bucket;
 pub use self::chunk_request::ChunkRequest;
+pub use self::chunk_store::ChunkStore;
+pub use self::distribution_bound::{DistributionBound, Duplex};
 pub use self::fetch_pace::FetchPace;
+pub use self::fetch_timeouts::{FetchTimeouts, Takeover};
 pub use self::link_share::LinkShare;
 pub use self::manifest::{Chunk, Manifest};
 pub use self::manifest_source::ManifestSource;
-pub use self::patience::{Patience, Takeover};
 pub use self::puller::Puller;
-pub use self::question_queue::QuestionQueue;
-pub use self::store::Store;
-pub use self::succession::{ChunkTimes, Prospect, choose_version};
-pub use self::walk::{Source, Walk};
+pub use self::request_queue::RequestQueue;
+pub use self::source_ranking::{Source, SourceRanking};
+pub use self::token_bucket::TokenBucket;
+pub use self::version_choice::{
+    ChunkTransferTimes, VersionCandidate, choose_version,
+};
 
 #[cfg(test)]
 mod cache_tests;
@@ -50,10 +52,10 @@
 mod puller_tests;
 
 #[cfg(test)]
-mod question_queue_tests;
+mod request_queue_tests;
 
 #[cfg(test)]
-mod succession_tests;
+mod version_choice_tests;
 
 #[cfg(test)]
 mod takeover_tests;
--- a/src/weights/cache_tests.rs
+++ b/src/weights/cache_tests.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use super::tests::{halls, none, walk};
-use super::{FetchPace, Source, Walk};
+use super::{FetchPace, Source, SourceRanking};
 use crate::Time;
 
 fn caches() -> Vec<Arc<str>> {
@@ -46,7 +46,8 @@
     let all = halls(3, 1);
     let (hall, names) = &all[0];
     let holders = vec![Arc::from("h0"), Arc::from("h1")];
-    let walk = Walk::new(b"v", &all, hall, &names[0], 1).with_holders(holders);
+    let walk = SourceRanking::new(b"v", &all, hall, &names[0], 1)
+        .with_holders(holders);
     let mut asked: HashMap<Source, usize> = HashMap::new();
     for i in 0..64 {
         *asked.entry(walk.first(i, none, none)).or_default() += 1;
--- a/src/weights/chunk_request.rs
+++ b/src/weights/chunk_request.rs
@@ -28,13 +28,13 @@
 
     /// Returns whether this is the first question to a peer, which is to say
     /// what it holds of all chunks.
-    pub fn hello(&self) -> bool {
+    pub fn is_first_contact(&self) -> bool {
         self.hello
     }
 
     /// Returns whether the source is only to say what it holds, once it holds
     /// any of what is wanted.
-    pub fn tell(&self) -> bool {
+    pub fn is_holdings_only(&self) -> bool {
         self.tell
     }
 
--- a/src/weights/store.rs
+++ b/src/weights/chunk_store.rs
@@ -10,16 +10,16 @@
 
 /// A bounded set of verified chunks; `B` is the caller's type of bytes.
 #[derive(Debug)]
-pub struct Store<B> {
+pub struct ChunkStore<B> {
     most: u64,
     used: u64,
     chunks: HashMap<Digest, B>,
 }
 
-impl<B: AsRef<[u8]> + Clone> Store<B> {
+impl<B: AsRef<[u8]> + Clone> ChunkStore<B> {
     /// Returns an empty store of at most `most` bytes.
-    pub fn new(most: u64) -> Store<B> {
-        Store { most, used: 0, chunks: HashMap::new() }
+    pub fn new(most: u64) -> ChunkStore<B> {
+        ChunkStore { most, used: 0, chunks: HashMap::new() }
     }
 
     /// Checks bytes against a digest and keeps them.
@@ -62,7 +62,7 @@
     /// # Errors
     ///
     /// [`Code::StoreTooSmall`] if it is larger than the whole store.
-    pub fn fits(&self, size: u64) -> Result<(), Error> {
+    pub fn check_fits(&self, size: u64) -> Result<(), Error> {
         if size <= self.most {
             return Ok(());
         }
@@ -78,7 +78,7 @@
     }
 
     /// Returns whether a chunk is here.
-    pub fn holds(&self, digest: &Digest) -> bool {
+    pub fn contains(&self, digest: &Digest) -> bool {
         self.chunks.contains_key(digest)
     }
 
--- a/src/weights/bound.rs
+++ b/src/weights/distribution_bound.rs
@@ -4,11 +4,11 @@
 
 /// How a machine's link rate is to be read.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Link {
+pub enum Duplex {
     /// The rate holds for both directions together.
-    Total,
+    Half,
     /// The rate holds for each direction.
-    Each,
+    Full,
 }
 
 /// The lower bound of distributing one version.
@@ -17,21 +17,25 @@
 /// 4 S/W and a machine's link c = 2 S/W (the users' brief). Everything is in
 /// units of W, so S cancels out.
 #[derive(Clone, Copy, Debug)]
-pub struct Bound {
+pub struct DistributionBound {
     replicas: u32,
     window: Duration,
-    link: Link,
+    link: Duplex,
 }
 
-impl Bound {
+impl DistributionBound {
     /// Copies that the origin's link carries in the window.
     pub const ORIGIN_COPIES: f64 = 4.0;
     /// Copies that a machine's link carries in the window.
     pub const MACHINE_COPIES: f64 = 2.0;
 
     /// Returns the bound for a number of replicas and a window.
-    pub const fn new(replicas: u32, window: Duration, link: Link) -> Bound {
-        Bound { replicas, window, link }
+    pub const fn new(
+        replicas: u32,
+        window: Duration,
+        link: Duplex,
+    ) -> DistributionBound {
+        DistributionBound { replicas, window, link }
     }
 
     /// Returns the least time when at most `copies` are drawn from the
@@ -41,19 +45,19 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use stairhinge::weights::{Bound, Link};
+    /// use stairhinge::weights::{DistributionBound, Duplex};
     ///
-    /// let bound = Bound::new(12, Duration::from_secs(12), Link::Each);
-    /// assert_eq!(bound.least(4.0), Duration::from_secs(6));
+    /// let bound = DistributionBound::new(12, Duration::from_secs(12), Duplex::Full);
+    /// assert_eq!(bound.min_duration(4.0), Duration::from_secs(6));
     /// ```
-    pub fn least(self, copies: f64) -> Duration {
+    pub fn min_duration(self, copies: f64) -> Duration {
         let n = f64::from(self.replicas);
-        let c = Bound::MACHINE_COPIES;
-        let o = Bound::ORIGIN_COPIES;
+        let c = DistributionBound::MACHINE_COPIES;
+        let o = DistributionBound::ORIGIN_COPIES;
         let alone = 1.0 / c;
         let shared = match self.link {
-            Link::Total => self.total(copies.min(n)),
-            Link::Each => n / (o + n * c),
+            Duplex::Half => self.total(copies.min(n)),
+            Duplex::Full => n / (o + n * c),
         };
         let origin = copies.min(1.0) / o;
         self.window.mul_f64(alone.max(shared).max(origin))
@@ -63,7 +67,8 @@
     /// origin draws at most 4 T/W copies, whichever of the two is less.
     fn total(self, copies: f64) -> f64 {
         let n = f64::from(self.replicas);
-        let fixed = (2.0 * n - copies) / (n * Bound::MACHINE_COPIES);
+        let fixed =
+            (2.0 * n - copies) / (n * DistributionBound::MACHINE_COPIES);
         let free = 1.0 / (1.0 + 2.0 / n);
         fixed.max(free)
     }
--- a/src/weights/patience.rs
+++ b/src/weights/fetch_timeouts.rs
@@ -6,7 +6,7 @@
 
 /// How long a puller puts up with a source.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Patience {
+pub struct FetchTimeouts {
     pub(super) hold: Duration,
     pub(super) waiting: Duration,
     pub(super) suspect: Duration,
@@ -24,12 +24,12 @@
     pub step: Duration,
 }
 
-impl Patience {
+impl FetchTimeouts {
     /// Returns the usual spans: a question waits at a source for a second, a
     /// source that holds nothing new is left after five, and is suspect for
     /// ten at first.
-    pub const fn new() -> Patience {
-        Patience {
+    pub const fn new() -> FetchTimeouts {
+        FetchTimeouts {
             hold: Duration::from_secs(1),
             waiting: Duration::from_secs(5),
             suspect: Duration::from_secs(10),
@@ -45,36 +45,42 @@
     /// on while the next one comes. Asked for all at once, the origin would
     /// send all of them side by side, and all would be whole at the end only.
     #[must_use]
-    pub const fn with_origin_pace(mut self, span: Duration) -> Patience {
+    pub const fn with_origin_interval(
+        mut self,
+        span: Duration,
+    ) -> FetchTimeouts {
         self.origin_pace = span;
         self
     }
 
     /// Returns it with when others take over while no chunk comes at all.
     #[must_use]
-    pub const fn with_takeover(mut self, takeover: Takeover) -> Patience {
+    pub const fn with_takeover(mut self, takeover: Takeover) -> FetchTimeouts {
         self.takeover = Some(takeover);
         self
     }
 
     /// Returns it with how long a question may wait at a source.
     #[must_use]
-    pub const fn with_hold(mut self, span: Duration) -> Patience {
+    pub const fn with_hold(mut self, span: Duration) -> FetchTimeouts {
         self.hold = span;
         self
     }
 
     /// Returns it with how long a source may have nothing new.
     #[must_use]
-    pub const fn with_waiting(mut self, span: Duration) -> Patience {
+    pub const fn with_not_yet_limit(
+        mut self,
+        span: Duration,
+    ) -> FetchTimeouts {
         self.waiting = span;
         self
     }
 
     /// Returns it with how long the first suspicion lasts; it doubles with
-    /// each further failure, up to [`Patience::DOUBLINGS`] times.
+    /// each further failure, up to [`FetchTimeouts::DOUBLINGS`] times.
     #[must_use]
-    pub const fn with_suspect(mut self, span: Duration) -> Patience {
+    pub const fn with_suspicion(mut self, span: Duration) -> FetchTimeouts {
         self.suspect = span;
         self
     }
@@ -83,7 +89,7 @@
     /// news is left in half the time, at the risk of another draw on the
     /// origin.
     #[must_use]
-    pub const fn preferring(mut self, prefer: Prefer) -> Patience {
+    pub const fn preferring(mut self, prefer: Prefer) -> FetchTimeouts {
         if matches!(prefer, Prefer::Time) {
             let half = self.waiting.as_nanos() as u64 / 2;
             self.waiting = Duration::from_nanos(half);
@@ -102,15 +108,15 @@
     pub const ORIGIN_DOUBLINGS: u32 = 0;
 
     /// Returns the longest suspicion of the origin.
-    pub const fn origin_longest(self) -> Duration {
+    pub const fn max_origin_suspicion(self) -> Duration {
         let first = self.suspect.as_millis() as u64;
-        let first = first / Patience::ORIGIN_PART as u64;
-        Duration::from_millis(first << Patience::ORIGIN_DOUBLINGS)
+        let first = first / FetchTimeouts::ORIGIN_PART as u64;
+        Duration::from_millis(first << FetchTimeouts::ORIGIN_DOUBLINGS)
     }
 }
 
-impl Default for Patience {
-    fn default() -> Patience {
-        Patience::new()
+impl Default for FetchTimeouts {
+    fn default() -> FetchTimeouts {
+        FetchTimeouts::new()
     }
 }
--- a/src/weights/manifest.rs
+++ b/src/weights/manifest.rs
@@ -19,7 +19,7 @@
 
     /// Returns a chunk of which only the digest is known, and a bound on its
     /// size.
-    pub const fn named(digest: Digest, most: u32) -> Chunk {
+    pub const fn with_digest(digest: Digest, most: u32) -> Chunk {
         Chunk { digest, size: most }
     }
 
@@ -42,22 +42,22 @@
 
 impl Manifest {
     /// The most chunks of one manifest; its JSON stays below 2 MB.
-    pub const MOST_CHUNKS: usize = 16_384;
+    pub const MAX_CHUNKS: usize = 16_384;
 
     /// Returns a manifest of chunks.
     ///
     /// # Errors
     ///
     /// [`Code::BadManifest`] if there are none or more than
-    /// [`Manifest::MOST_CHUNKS`].
+    /// [`Manifest::MAX_CHUNKS`].
     pub fn new(chunks: Vec<Chunk>) -> Result<Manifest, Error> {
         let count = chunks.len();
-        if count == 0 || count > Manifest::MOST_CHUNKS {
+        if count == 0 || count > Manifest::MAX_CHUNKS {
             return Err(Error::new(
                 Code::BadManifest,
                 format_args!(
                     "{count} chunks, allowed: 1 to {}",
-                    Manifest::MOST_CHUNKS
+                    Manifest::MAX_CHUNKS
                 ),
             ));
         }
--- a/src/weights/manifest_source.rs
+++ b/src/weights/manifest_source.rs
@@ -18,17 +18,17 @@
 
 impl ManifestSource {
     /// The agents that ask the origin at once.
-    pub const DRAWERS: usize = 4;
+    pub const ORIGIN_FETCHERS: usize = 4;
 
     /// How many agents are asked first by as many others.
     const FANOUT: usize = 3;
 
     /// How long others wait for the drawers before the first of them asks
     /// the origin itself.
-    pub const PATIENCE: Duration = Duration::from_millis(1_500);
+    pub const ORIGIN_FALLBACK_DELAY: Duration = Duration::from_millis(1_500);
 
     /// How much later each agent loses patience than the one before it.
-    pub const STEP: Duration = Duration::from_millis(150);
+    pub const ORIGIN_FALLBACK_STEP: Duration = Duration::from_millis(150);
 
     /// Returns where the agent of rank `place` among `count` asks in its
     /// `round`th question, counted from 0, after having waited for `waited`.
@@ -41,9 +41,10 @@
         if count < 2 {
             return ManifestSource::Origin;
         }
-        let late = ManifestSource::PATIENCE
-            + ManifestSource::STEP * u32::try_from(place).unwrap_or(u32::MAX);
-        let draws = place < ManifestSource::DRAWERS || waited >= late;
+        let late = ManifestSource::ORIGIN_FALLBACK_DELAY
+            + ManifestSource::ORIGIN_FALLBACK_STEP
+                * u32::try_from(place).unwrap_or(u32::MAX);
+        let draws = place < ManifestSource::ORIGIN_FETCHERS || waited >= late;
         if draws && round.is_multiple_of(2) {
             return ManifestSource::Origin;
         }
--- a/src/weights/outage_tests.rs
+++ b/src/weights/outage_tests.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use super::tests::{chunks, halls, walk};
-use super::{Chunk, ChunkRequest, Patience, Puller, Source, Takeover};
+use super::{Chunk, ChunkRequest, FetchTimeouts, Puller, Source, Takeover};
 use crate::{Digest, Time};
 
 const TAKEOVER: Takeover = Takeover {
@@ -17,9 +17,9 @@
 fn an_origin_that_comes_back_sends_what_is_missing_about_once() {
     let all = halls(3, 25);
     let list = chunks(96);
-    let patience = Patience::new()
-        .with_waiting(Duration::from_secs(3_600))
-        .with_suspect(Duration::from_secs(2))
+    let patience = FetchTimeouts::new()
+        .with_not_yet_limit(Duration::from_secs(3_600))
+        .with_suspicion(Duration::from_secs(2))
         .with_takeover(TAKEOVER);
     for missing in [8, 15] {
         let gone = &list[list.len() - missing..];
@@ -47,12 +47,12 @@
         let now = Time::from_millis(ms);
         for ask in puller.poll(now) {
             if *ask.source() != Source::Origin {
-                puller.waited(ask.source(), now);
+                puller.record_not_yet(ask.source(), now);
             } else if ms < BACK {
-                puller.failed(ask.source(), now);
+                puller.record_failure(ask.source(), now);
             } else {
                 draws += 1;
-                puller.got(ask.source(), &ask.want()[0]);
+                puller.record_chunk(ask.source(), &ask.want()[0]);
             }
         }
     }
@@ -65,8 +65,8 @@
     let list = chunks(96);
     let ranks = walk(&all, 0, 0);
     let mine = (0..list.len()).find(|i| ranks.place(*i) == 0).unwrap();
-    let patience = Patience::new()
-        .with_suspect(Duration::from_secs(2))
+    let patience = FetchTimeouts::new()
+        .with_suspicion(Duration::from_secs(2))
         .with_takeover(TAKEOVER);
     let mut puller = Puller::new(walk(&all, 0, 0), &list, patience, 0, |d| {
         *d != list[mine].digest()
@@ -79,7 +79,7 @@
         for ask in puller.poll(now) {
             if *ask.source() == Source::Origin {
                 tries.push(ms);
-                puller.failed(ask.source(), now);
+                puller.record_failure(ask.source(), now);
             } else {
                 let until = ms + ask.hold().as_millis() as u64;
                 waiting.push((until, ask.source().clone()));
@@ -88,7 +88,7 @@
         waiting.retain(|(until, source)| {
             let over = *until <= ms;
             if over {
-                puller.waited(source, now);
+                puller.record_not_yet(source, now);
             }
             !over
         });
@@ -102,9 +102,9 @@
 fn what_a_drawer_that_is_gone_leaves_is_soon_taken_over_after_an_outage() {
     let all = halls(1, 6);
     let list = chunks(96);
-    let patience = Patience::new()
-        .with_waiting(Duration::from_secs(3_600))
-        .with_suspect(Duration::from_secs(2))
+    let patience = FetchTimeouts::new()
+        .with_not_yet_limit(Duration::from_secs(3_600))
+        .with_suspicion(Duration::from_secs(2))
         .with_takeover(TAKEOVER);
     // One chunk's drawer is gone, and this agent is the next in rank; one
     // other chunk comes at the origin's return.
@@ -122,16 +122,16 @@
         let now = Time::from_millis(ms);
         for ask in puller.poll(now) {
             if *ask.source() != Source::Origin {
-                puller.waited(ask.source(), now);
+                puller.record_not_yet(ask.source(), now);
             } else if ms < 6_000 {
-                puller.failed(ask.source(), now);
+                puller.record_failure(ask.source(), now);
             } else if ask.want()[0] == missing[0] {
                 drawn.get_or_insert(ms);
             }
         }
         if ms == 6_200 {
             let fellow = ranks.fellows().next().unwrap();
-            puller.got(&fellow, &missing[1]);
+            puller.record_chunk(&fellow, &missing[1]);
         }
     }
     let drawn = drawn.expect("it is taken over");
@@ -165,10 +165,10 @@
             held: Vec::new(),
             out: Vec::new(),
         };
-        let patience = Patience::new()
+        let patience = FetchTimeouts::new()
             .with_hold(Duration::from_millis(800))
-            .with_waiting(Duration::from_secs(3_600))
-            .with_suspect(Duration::from_secs(2))
+            .with_not_yet_limit(Duration::from_secs(3_600))
+            .with_suspicion(Duration::from_secs(2))
             .with_takeover(TAKEOVER);
         for (h, (_, names)) in all.iter().enumerate() {
             for (i, name) in names.iter().enumerate() {
@@ -198,7 +198,7 @@
             for ask in self.pullers[me].poll(now) {
                 let named = |n: &Arc<str>| **n == *ask.source().name();
                 let Some(other) = self.names.iter().position(named) else {
-                    self.pullers[me].failed(ask.source(), now);
+                    self.pullers[me].record_failure(ask.source(), now);
                     continue;
                 };
                 let until = ms + ask.hold().as_millis() as u64;
@@ -217,14 +217,14 @@
             }
             let held = &self.held[other];
             let bits = (0..self.list.len()).map(|c| held.contains(&c));
-            self.pullers[me].learn(ask.source(), bits);
+            self.pullers[me].record_holdings(ask.source(), bits);
             match found {
                 Some(c) => {
                     let digest = self.list[c].digest();
-                    self.pullers[me].got(ask.source(), &digest);
+                    self.pullers[me].record_chunk(ask.source(), &digest);
                     self.held[me].insert(c);
                 }
-                None => self.pullers[me].waited(ask.source(), now),
+                None => self.pullers[me].record_not_yet(ask.source(), now),
             }
         }
     }
@@ -253,8 +253,9 @@
     let list = chunks(96);
     let name = |i: usize| Arc::from(format!("part-{i}"));
     let part_holders: Vec<Arc<str>> = (0..5).map(name).collect();
-    let walk = walk(&all, 0, 0).with_part_holders(part_holders.clone());
-    let patience = Patience::new().with_waiting(Duration::from_secs(3_600));
+    let walk = walk(&all, 0, 0).with_partial_holders(part_holders.clone());
+    let patience =
+        FetchTimeouts::new().with_not_yet_limit(Duration::from_secs(3_600));
     let mut puller = Puller::new(walk, &list, patience, 0, |_| false);
     let mut drawn = HashSet::new();
     for ms in (0..6_000).step_by(20) {
@@ -270,9 +271,9 @@
                 if ms % 100 == 0 {
                     let digest = ask.want()[0];
                     drawn.insert(place(&digest));
-                    puller.got(ask.source(), &digest);
+                    puller.record_chunk(ask.source(), &digest);
                 } else {
-                    puller.waited(ask.source(), now);
+                    puller.record_not_yet(ask.source(), now);
                 }
                 continue;
             }
@@ -280,15 +281,15 @@
                 part_holders.iter().position(|l| **l == *ask.source().name());
             let holder = holder.unwrap();
             let holds = |c: usize| c < until && c % 5 == holder;
-            puller.learn(ask.source(), (0..list.len()).map(holds));
+            puller.record_holdings(ask.source(), (0..list.len()).map(holds));
             let found = ask.want().iter().find(|d| holds(place(d)));
-            match found.filter(|_| !ask.tell()) {
-                Some(digest) => puller.got(ask.source(), digest),
-                None => puller.waited(ask.source(), now),
+            match found.filter(|_| !ask.is_holdings_only()) {
+                Some(digest) => puller.record_chunk(ask.source(), digest),
+                None => puller.record_not_yet(ask.source(), now),
             }
         }
     }
-    assert!(puller.done());
+    assert!(puller.is_complete());
     let lent = drawn.iter().filter(|c| **c < 30).count();
     assert_eq!(lent, 0, "{drawn:?}");
     assert!(drawn.len() <= 36 + 15, "{} draws", drawn.len());
--- a/src/weights/puller.rs
+++ b/src/weights/puller.rs
@@ -15,7 +15,9 @@
 use std::time::Duration;
 
 use self::standing::Standing;
-use super::{Chunk, ChunkRequest, Patience, Source, Takeover, Walk};
+use super::{
+    Chunk, ChunkRequest, FetchTimeouts, Source, SourceRanking, Takeover,
+};
 use crate::{Digest, Time};
 
 /// A question that is out.
@@ -39,13 +41,13 @@
 /// The state of drawing one set of chunks.
 #[derive(Clone, Debug)]
 pub struct Puller {
-    walk: Walk,
+    walk: SourceRanking,
     chunks: Vec<Chunk>,
     index: HashMap<Digest, usize>,
     held: Vec<bool>,
     asked: BTreeMap<Source, Asked>,
     standing: HashMap<Source, Standing>,
-    patience: Patience,
+    patience: FetchTimeouts,
     turn: usize,
     started: Option<Time>,
     /// Sources that have given far less than their fellows.
@@ -102,7 +104,7 @@
     /// chunks which nobody has yet keeps back those that the source holds:
     /// with 8, nine entries that held 60 in 100 of a version among them had 18
     /// to 48 each after 6 s without the origin.
-    pub const MOST_WANT: usize = 128;
+    pub const MAX_CHUNKS_PER_REQUEST: usize = 128;
 
     /// How often those who may hold chunks are asked anew what they hold: they
     /// draw too while no entry of the hall answers them. A question and its
@@ -116,9 +118,9 @@
     /// Returns a puller of `chunks`; those for which `held` says yes are here
     /// already. `turn` spreads where pullers of one hall begin.
     pub fn new(
-        walk: Walk,
+        walk: SourceRanking,
         chunks: &[Chunk],
-        patience: Patience,
+        patience: FetchTimeouts,
         turn: usize,
         held: impl Fn(&Digest) -> bool,
     ) -> Puller {
@@ -152,7 +154,7 @@
 
     /// Goes on with other members. What is out, and what is known of the
     /// sources, stays.
-    pub fn set_walk(&mut self, walk: Walk) {
+    pub fn set_ranking(&mut self, walk: SourceRanking) {
         self.walk = walk;
     }
 
@@ -220,7 +222,7 @@
                 continue;
             }
             let want = plan.entry(source).or_default();
-            if want.len() < Puller::MOST_WANT {
+            if want.len() < Puller::MAX_CHUNKS_PER_REQUEST {
                 want.push(i);
             }
         }
@@ -298,7 +300,7 @@
     }
 
     /// Takes note that a source sent a chunk, which was verified and kept.
-    pub fn got(&mut self, source: &Source, digest: &Digest) {
+    pub fn record_chunk(&mut self, source: &Source, digest: &Digest) {
         self.asked.remove(source);
         if let Some(i) = self.index.get(digest) {
             self.held[*i] = true;
@@ -309,24 +311,24 @@
         standing.got += 1;
     }
 
-    /// Returns the chunks without repetition, as counted by [`Self::learn`].
+    /// Returns the chunks without repetition, as counted by [`Self::record_holdings`].
     pub fn chunks(&self) -> &[Chunk] {
         &self.chunks
     }
 
     /// Returns whether all chunks are here.
-    pub fn done(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.held.iter().all(|h| *h)
     }
 
-    /// Returns the chunks that are missing, as counted by [`Self::learn`].
+    /// Returns the chunks that are missing, as counted by [`Self::record_holdings`].
     pub fn missing(&self) -> impl Iterator<Item = usize> {
         let held = self.held.iter().enumerate();
         held.filter(|(_, held)| !**held).map(|(i, _)| i)
     }
 
     /// Returns the share of chunks that are here, per mille.
-    pub fn share(&self) -> u32 {
+    pub fn held_permille(&self) -> u32 {
         let held = self.held.iter().filter(|h| **h).count();
         (held * 1000 / self.held.len().max(1)) as u32
     }
--- a/src/weights/puller/stall.rs
+++ b/src/weights/puller/stall.rs
@@ -83,7 +83,7 @@
         let holds = self.standing.get(source).map(|s| &s.holds);
         let known = |i: &usize| holds.is_some_and(|h| h.contains(i));
         let unknown = self.missing().filter(|i| !known(i));
-        unknown.take(Puller::MOST_WANT).collect()
+        unknown.take(Puller::MAX_CHUNKS_PER_REQUEST).collect()
     }
 
     /// Returns the questions for chunks that another hall draws: those who
@@ -109,7 +109,7 @@
                     continue;
                 }
                 let want = asks.entry(source).or_default();
-                if want.len() < Puller::MOST_WANT {
+                if want.len() < Puller::MAX_CHUNKS_PER_REQUEST {
                     want.push(i);
                 }
             }
--- a/src/weights/puller/standing.rs
+++ b/src/weights/puller/standing.rs
@@ -4,7 +4,7 @@
 
 use super::Puller;
 use crate::Time;
-use crate::weights::{Patience, Source};
+use crate::weights::{FetchTimeouts, Source};
 
 /// How one source has done.
 #[derive(Clone, Debug, Default)]
@@ -47,7 +47,7 @@
     }
 
     /// Takes note that a source said "not yet".
-    pub fn waited(&mut self, source: &Source, now: Time) {
+    pub fn record_not_yet(&mut self, source: &Source, now: Time) {
         self.asked.remove(source);
         let standing = self.standing.entry(source.clone()).or_default();
         let since = *standing.waiting.get_or_insert(now);
@@ -59,15 +59,15 @@
     }
 
     /// Takes note that a source failed, stalled or sent corrupt bytes.
-    pub fn failed(&mut self, source: &Source, now: Time) {
+    pub fn record_failure(&mut self, source: &Source, now: Time) {
         self.asked.remove(source);
         if *source == Source::Origin {
             self.origin_failed = Some(now);
         }
         let standing = self.standing.entry(source.clone()).or_default();
         let most = match source {
-            Source::Origin => Patience::ORIGIN_DOUBLINGS,
-            Source::Near(_) | Source::Far(_) => Patience::DOUBLINGS,
+            Source::Origin => FetchTimeouts::ORIGIN_DOUBLINGS,
+            Source::Near(_) | Source::Far(_) => FetchTimeouts::DOUBLINGS,
         };
         let doublings = standing.strikes.min(most);
         standing.strikes += 1;
@@ -75,14 +75,16 @@
         standing.holds.clear();
         // There is one origin, so what it alone has is soon asked for again.
         let first = match source {
-            Source::Origin => self.patience.suspect / Patience::ORIGIN_PART,
+            Source::Origin => {
+                self.patience.suspect / FetchTimeouts::ORIGIN_PART
+            }
             Source::Near(_) | Source::Far(_) => self.patience.suspect,
         };
         standing.until = now.after(first * (1 << doublings));
     }
 
     /// Takes note of what a source says that it holds, a bit for each chunk.
-    pub fn learn(
+    pub fn record_holdings(
         &mut self,
         source: &Source,
         held: impl Iterator<Item = bool>,
@@ -96,7 +98,10 @@
     }
 
     /// Returns the sources that are asked now and those that are suspect.
-    pub fn standing(&self, now: Time) -> (Vec<Source>, Vec<Source>) {
+    pub fn pending_and_suspect(
+        &self,
+        now: Time,
+    ) -> (Vec<Source>, Vec<Source>) {
         let asked = self.asked.keys().cloned().collect();
         let mut suspects: Vec<Source> = Vec::new();
         for (source, standing) in &self.standing {
--- a/src/weights/question_queue.rs
+++ b/src/weights/request_queue.rs
@@ -10,17 +10,17 @@
 /// wait at its peer. One to the origin never queues behind them: what nobody
 /// holds comes from there alone, and it is one at a time anyway.
 #[derive(Clone, Debug, Default)]
-pub struct QuestionQueue {
+pub struct RequestQueue {
     origin: VecDeque<ChunkRequest>,
     /// Questions to peers that are known to hold what is wanted.
     sure: VecDeque<ChunkRequest>,
     others: VecDeque<ChunkRequest>,
 }
 
-impl QuestionQueue {
+impl RequestQueue {
     /// Returns a queue without questions.
-    pub fn new() -> QuestionQueue {
-        QuestionQueue::default()
+    pub fn new() -> RequestQueue {
+        RequestQueue::default()
     }
 
     /// Adds a question.
--- a/src/weights/question_queue_tests.rs
+++ b/src/weights/request_queue_tests.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::{ChunkRequest, QuestionQueue, Source};
+use super::{ChunkRequest, RequestQueue, Source};
 
 fn question(source: Source, hold_ms: u64) -> ChunkRequest {
     ChunkRequest {
@@ -21,7 +21,7 @@
 
 #[test]
 fn the_origin_is_asked_though_a_poor_link_bears_no_more_questions() {
-    let mut queue = QuestionQueue::new();
+    let mut queue = RequestQueue::new();
     for name in ["a", "b", "c"] {
         queue.push(question(near(name), 800));
     }
--- a/src/weights/walk.rs
+++ b/src/weights/source_ranking.rs
@@ -32,7 +32,7 @@
 
 /// The ranks of halls and agents for one version, seen by one agent.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Walk {
+pub struct SourceRanking {
     me: Arc<str>,
     halls: Vec<Vec<Arc<str>>>,
     mine: usize,
@@ -49,7 +49,7 @@
     part_holders: Vec<Arc<str>>,
 }
 
-impl Walk {
+impl SourceRanking {
     /// Agents of another hall that are asked before the next hall is.
     const FAR_TRIES: usize = 2;
 
@@ -67,7 +67,7 @@
         hall: &Arc<str>,
         me: &Arc<str>,
         budget: u32,
-    ) -> Walk {
+    ) -> SourceRanking {
         let mut names: Vec<Arc<str>> = Vec::new();
         for (name, _) in members {
             names.push(Arc::clone(name));
@@ -89,7 +89,7 @@
             halls.push(rank::order(subject, &agents));
         }
         let budget = budget.max(1) as usize;
-        Walk {
+        SourceRanking {
             me: Arc::clone(me),
             halls,
             mine,
@@ -106,7 +106,7 @@
     /// else: their links are wider than those of agents, which need not pass
     /// chunks on as long as one cache is left.
     #[must_use]
-    pub fn with_caches(mut self, caches: Vec<Arc<str>>) -> Walk {
+    pub fn with_caches(mut self, caches: Vec<Arc<str>>) -> SourceRanking {
         self.caches = caches;
         self
     }
@@ -114,7 +114,7 @@
     /// Returns the walk in which those who hold the whole version are asked
     /// before anybody outside the hall.
     #[must_use]
-    pub fn with_holders(mut self, holders: Vec<Arc<str>>) -> Walk {
+    pub fn with_holders(mut self, holders: Vec<Arc<str>>) -> SourceRanking {
         self.holders = holders;
         self
     }
@@ -122,7 +122,10 @@
     /// Returns the walk in which those who may hold some of the version are
     /// asked what they hold, and for it, before anybody outside the hall.
     #[must_use]
-    pub fn with_part_holders(mut self, part_holders: Vec<Arc<str>>) -> Walk {
+    pub fn with_partial_holders(
+        mut self,
+        part_holders: Vec<Arc<str>>,
+    ) -> SourceRanking {
         self.part_holders = part_holders;
         self
     }
@@ -133,14 +136,14 @@
     /// A seed that sends to all of a large hall gets the chunk to the last
     /// one late, and all wait for the last chunk.
     #[must_use]
-    pub fn with_fanout(mut self, fanout: usize) -> Walk {
+    pub fn with_fanout(mut self, fanout: usize) -> SourceRanking {
         self.fanout = Some(fanout.max(1));
         self
     }
 
     /// Returns the baseline in which each agent draws all from the origin.
     #[must_use]
-    pub fn direct(mut self) -> Walk {
+    pub fn direct(mut self) -> SourceRanking {
         self.halls = vec![vec![Arc::clone(&self.me)]];
         self.mine = 0;
         self
@@ -149,7 +152,7 @@
     /// Returns the baseline in which one seed a hall draws all from the
     /// origin, and the others draw all from it.
     #[must_use]
-    pub fn tree(mut self) -> Walk {
+    pub fn tree(mut self) -> SourceRanking {
         self.budget = self.halls.len();
         self.turns = false;
         self
@@ -250,7 +253,8 @@
             // sending to those that do not.
             let step = (place % self.budget + step) % before;
             let hall = (index + step) % self.halls.len();
-            for name in self.turned(hall, index).take(Walk::FAR_TRIES) {
+            for name in self.turned(hall, index).take(SourceRanking::FAR_TRIES)
+            {
                 let source = Source::Far(Arc::clone(name));
                 if !suspect(&source) {
                     return source;
@@ -313,7 +317,7 @@
     /// they belong to this hall.
     pub fn drawers(&self, index: usize) -> impl Iterator<Item = Source> {
         let hall = index % self.halls.len();
-        let most = if hall == self.mine { 0 } else { Walk::DRAWERS };
+        let most = if hall == self.mine { 0 } else { SourceRanking::DRAWERS };
         let names = self.turned(hall, index).take(most);
         names.map(|name| Source::Far(Arc::clone(name)))
     }
--- a/src/weights/takeover_tests.rs
+++ b/src/weights/takeover_tests.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::tests::{chunks, halls, walk};
-use super::{Patience, Puller, Source, Takeover};
+use super::{FetchTimeouts, Puller, Source, Takeover};
 use crate::{Digest, Time};
 
 #[test]
@@ -18,7 +18,7 @@
             let mut puller = Puller::new(
                 walk(&all, h, i),
                 &chunks(count),
-                Patience::new(),
+                FetchTimeouts::new(),
                 0,
                 |d| *d != chunks(count)[missing].digest(),
             );
@@ -42,12 +42,12 @@
     let mut puller = Puller::new(
         walk(&all, 0, 0),
         &chunks(count),
-        Patience::new(),
+        FetchTimeouts::new(),
         0,
         |d| *d != chunks(count)[7].digest(),
     );
     for ask in puller.poll(Time::ZERO) {
-        puller.waited(ask.source(), Time::ZERO);
+        puller.record_not_yet(ask.source(), Time::ZERO);
     }
     puller.poll(Time::from_millis(10));
     let asks = puller.poll(Time::from_millis(500));
@@ -57,7 +57,7 @@
 
 /// Returns how many agents of a fleet draw on the origin at a time, if
 /// nobody gets a chunk for `span` and every source says "not yet".
-fn herd(patience: Patience, span: Duration) -> usize {
+fn herd(patience: FetchTimeouts, span: Duration) -> usize {
     let all = halls(3, 8);
     let mut herd = 0;
     for (h, (_, names)) in all.iter().enumerate() {
@@ -75,9 +75,9 @@
                 for ask in puller.poll(now) {
                     if *ask.source() == Source::Origin {
                         drawn.extend(ask.want().to_vec());
-                        puller.failed(ask.source(), now);
+                        puller.record_failure(ask.source(), now);
                     } else {
-                        puller.waited(ask.source(), now);
+                        puller.record_not_yet(ask.source(), now);
                     }
                 }
                 now = now.after(Duration::from_millis(100));
@@ -91,9 +91,9 @@
 #[test]
 fn an_origin_that_is_down_is_not_asked_by_a_herd() {
     let hour = Duration::from_secs(3_600);
-    let patience = Patience::new()
-        .with_waiting(hour)
-        .with_suspect(Duration::from_secs(2));
+    let patience = FetchTimeouts::new()
+        .with_not_yet_limit(hour)
+        .with_suspicion(Duration::from_secs(2));
     let span = Duration::from_secs(6);
     // Each chunk is asked for by the one agent in charge of it.
     assert_eq!(herd(patience, span), 24);
@@ -105,9 +105,9 @@
     let some = herd(patience.with_takeover(takeover), span);
     assert!((24..=72).contains(&some), "{some}");
     // With patience alone, each agent ends up asking for every chunk.
-    let left = Patience::new()
-        .with_waiting(Duration::from_millis(1_200))
-        .with_suspect(Duration::from_secs(2));
+    let left = FetchTimeouts::new()
+        .with_not_yet_limit(Duration::from_millis(1_200))
+        .with_suspicion(Duration::from_secs(2));
     let all = herd(left, span);
     assert!(all > 200, "{all}");
 }
@@ -119,8 +119,8 @@
         after: Duration::from_millis(1_000),
         step: Duration::from_millis(500),
     };
-    let patience = Patience::new()
-        .with_waiting(Duration::from_secs(3_600))
+    let patience = FetchTimeouts::new()
+        .with_not_yet_limit(Duration::from_secs(3_600))
         .with_takeover(takeover);
     let ranks = walk(&all, 0, 0);
     let list = chunks(24);
@@ -133,7 +133,7 @@
         let now = Time::from_millis(ms);
         for ask in puller.poll(now) {
             if *ask.source() != Source::Origin {
-                puller.waited(ask.source(), now);
+                puller.record_not_yet(ask.source(), now);
                 continue;
             }
             let digest = ask.want()[0];
@@ -141,7 +141,7 @@
             if ranks.place(i) > 0 {
                 others.push((ranks.place(i), ms - gained));
             }
-            puller.got(ask.source(), &digest);
+            puller.record_chunk(ask.source(), &digest);
             gained = ms;
         }
     }
@@ -159,7 +159,7 @@
         after: Duration::from_millis(1_000),
         step: Duration::from_millis(500),
     };
-    let patience = Patience::new().with_takeover(takeover);
+    let patience = FetchTimeouts::new().with_takeover(takeover);
     let ranks = walk(&all, 0, 0);
     let list = chunks(24);
     let mut puller =
@@ -173,14 +173,14 @@
         let now = start.after(Duration::from_millis(ms));
         for ask in puller.poll(now) {
             if *ask.source() != Source::Origin {
-                puller.waited(ask.source(), now);
+                puller.record_not_yet(ask.source(), now);
                 continue;
             }
             for digest in ask.want() {
                 let i = list.iter().position(|c| c.digest() == *digest);
                 assert_eq!(ranks.place(i.unwrap()), 0, "after {ms} ms");
             }
-            puller.failed(ask.source(), now);
+            puller.record_failure(ask.source(), now);
         }
     }
 }
@@ -193,7 +193,7 @@
     let mut puller = Puller::new(
         walk(&all, 0, 0),
         &list,
-        Patience::new().with_waiting(Duration::from_secs(3_600)),
+        FetchTimeouts::new().with_not_yet_limit(Duration::from_secs(3_600)),
         0,
         |d| !missing.contains(d),
     );
@@ -211,14 +211,14 @@
                     first.get_or_insert(ms);
                 }
                 left.retain(|d| d != wanted);
-                puller.got(ask.source(), wanted);
+                puller.record_chunk(ask.source(), wanted);
             } else if std::mem::take(&mut comes) {
                 // Now and then a fellow has got hold of another one.
                 let digest = ask.want()[0];
                 left.retain(|d| *d != digest);
-                puller.got(ask.source(), &digest);
+                puller.record_chunk(ask.source(), &digest);
             } else {
-                puller.waited(ask.source(), now);
+                puller.record_not_yet(ask.source(), now);
             }
         }
     }
@@ -236,7 +236,8 @@
         let mut puller = Puller::new(
             walk(&all, 0, i),
             &list,
-            Patience::new().with_waiting(Duration::from_secs(3_600)),
+            FetchTimeouts::new()
+                .with_not_yet_limit(Duration::from_secs(3_600)),
             0,
             |d| !missing.contains(d),
         );
@@ -244,7 +245,7 @@
         let mut now = Time::ZERO;
         while now < Time::from_millis(6_000) {
             for ask in puller.poll(now) {
-                puller.waited(ask.source(), now);
+                puller.record_not_yet(ask.source(), now);
             }
             now = now.after(Duration::from_millis(100));
         }
@@ -272,7 +273,7 @@
     let mut puller = Puller::new(
         walk(&all, 0, me),
         &list,
-        Patience::new().with_waiting(Duration::from_secs(3_600)),
+        FetchTimeouts::new().with_not_yet_limit(Duration::from_secs(3_600)),
         0,
         |d| *d != list[i].digest(),
     );
@@ -286,7 +287,7 @@
             // The first drawer sits behind a squeezed link and does not
             // answer; the fellows of this hall have nothing.
             if matches!(ask.source(), Source::Near(_)) {
-                puller.waited(ask.source(), now);
+                puller.record_not_yet(ask.source(), now);
             }
         }
     }
@@ -301,7 +302,7 @@
     let mut puller = Puller::new(
         walk(&all, 0, 3),
         &list,
-        Patience::new().with_waiting(Duration::from_secs(3_600)),
+        FetchTimeouts::new().with_not_yet_limit(Duration::from_secs(3_600)),
         0,
         |d| *d != list[40].digest(),
     );
@@ -312,9 +313,11 @@
         let now = Time::from_millis(ms);
         for ask in puller.poll(now) {
             match ask.source() {
-                Source::Origin => puller.failed(ask.source(), now),
-                _ if ask.hello() => puller.waited(ask.source(), now),
-                peer => waiting.push((ask.tell(), peer.clone())),
+                Source::Origin => puller.record_failure(ask.source(), now),
+                _ if ask.is_first_contact() => {
+                    puller.record_not_yet(ask.source(), now)
+                }
+                peer => waiting.push((ask.is_holdings_only(), peer.clone())),
             }
         }
         if ms < 2_000 {
@@ -322,15 +325,15 @@
         }
         for (tell, source) in waiting.drain(..) {
             let held = (0..list.len()).map(|i| i == 40);
-            puller.learn(&source, held);
+            puller.record_holdings(&source, held);
             if tell {
-                puller.waited(&source, now);
+                puller.record_not_yet(&source, now);
             } else {
                 sent += 1;
-                puller.got(&source, &list[40].digest());
+                puller.record_chunk(&source, &list[40].digest());
             }
         }
     }
-    assert!(puller.done());
+    assert!(puller.is_complete());
     assert!((1..=2).contains(&sent), "it was sent {sent} times");
 }
--- a/src/weights/tests.rs
+++ b/src/weights/tests.rs
@@ -5,8 +5,8 @@
 use proptest::prelude::*;
 
 use super::{
-    Bound, Bucket, Chunk, Link, LinkShare, Manifest, Patience, Puller, Source,
-    Store, Walk,
+    Chunk, ChunkStore, DistributionBound, Duplex, FetchTimeouts, LinkShare,
+    Manifest, Puller, Source, SourceRanking, TokenBucket,
 };
 use crate::{Code, Digest, Time};
 
@@ -26,9 +26,9 @@
     all: &[(Arc<str>, Vec<Arc<str>>)],
     h: usize,
     i: usize,
-) -> Walk {
+) -> SourceRanking {
     let (hall, names) = &all[h];
-    Walk::new(b"v", all, hall, &names[i], 1)
+    SourceRanking::new(b"v", all, hall, &names[i], 1)
 }
 
 pub(super) fn chunks(count: usize) -> Vec<Chunk> {
@@ -48,7 +48,7 @@
     let mut sent = HashMap::new();
     for (hall, names) in all {
         for name in names {
-            let walk = Walk::new(b"v", all, hall, name, budget);
+            let walk = SourceRanking::new(b"v", all, hall, name, budget);
             for i in 0..count {
                 let source = walk.first(i, none, none);
                 let source = match source {
@@ -135,41 +135,48 @@
 #[test]
 fn first_questions_come_back_at_once_and_hold_back_the_rest() {
     let all = halls(1, 3);
-    let mut puller =
-        Puller::new(walk(&all, 0, 0), &chunks(9), Patience::new(), 0, |_| {
-            false
-        });
+    let mut puller = Puller::new(
+        walk(&all, 0, 0),
+        &chunks(9),
+        FetchTimeouts::new(),
+        0,
+        |_| false,
+    );
     let asks = puller.poll(Time::ZERO);
     assert_eq!(asks.len(), 2);
     for ask in &asks {
-        assert!(ask.hello() && ask.hold().is_zero());
+        assert!(ask.is_first_contact() && ask.hold().is_zero());
         assert!(matches!(ask.source(), Source::Near(_)));
     }
     for ask in &asks {
-        puller.waited(ask.source(), Time::ZERO);
+        puller.record_not_yet(ask.source(), Time::ZERO);
     }
     let asks = puller.poll(Time::ZERO);
     assert!(asks.iter().any(|a| *a.source() == Source::Origin));
-    assert!(asks.iter().all(|a| !a.hello() || *a.source() == Source::Origin));
+    assert!(
+        asks.iter()
+            .all(|a| !a.is_first_contact() || *a.source() == Source::Origin)
+    );
 }
 
 #[test]
 fn a_source_without_news_is_left_after_patience() {
     let all = halls(1, 2);
-    let patience = Patience::new().with_waiting(Duration::from_secs(3));
+    let patience =
+        FetchTimeouts::new().with_not_yet_limit(Duration::from_secs(3));
     let mut puller =
         Puller::new(walk(&all, 0, 0), &chunks(4), patience, 0, |_| false);
     let peer = Source::Near(Arc::clone(&all[0].1[1]));
     let mut now = Time::ZERO;
     let mut rounds = 0;
     while puller.poll(now).iter().any(|a| *a.source() == peer) {
-        puller.waited(&peer, now);
+        puller.record_not_yet(&peer, now);
         now = now.after(Duration::from_secs(1));
         rounds += 1;
         assert!(rounds < 10);
     }
     assert_eq!(rounds, 4);
-    assert_eq!(puller.standing(now).1, [peer]);
+    assert_eq!(puller.pending_and_suspect(now).1, [peer]);
 }
 
 proptest! {
@@ -183,44 +190,44 @@
     ) {
         let all = halls(3, 3);
         let mut puller = Puller::new(
-            walk(&all, 1, 1), &chunks(count), Patience::new(), 3, |_| false,
+            walk(&all, 1, 1), &chunks(count), FetchTimeouts::new(), 3, |_| false,
         );
         let mut now = Time::ZERO;
         let mut fates = fates.into_iter().chain(std::iter::repeat(0));
         let mut rounds = 0;
-        while !puller.done() {
-            let here = puller.share() as usize * count / 1000;
+        while !puller.is_complete() {
+            let here = puller.held_permille() as usize * count / 1000;
             let last = count - here <= (count / 8).max(1) + 1;
             let asks = puller.poll(now);
             let mut seen = HashSet::new();
             let mut asked = HashSet::new();
             for ask in asks {
                 prop_assert!(asked.insert(ask.source().clone()));
-                prop_assert!(ask.want().len() <= Puller::MOST_WANT);
+                prop_assert!(ask.want().len() <= Puller::MAX_CHUNKS_PER_REQUEST);
                 for digest in ask.want() {
                     prop_assert!(seen.insert(*digest) || last);
                 }
                 match fates.next() {
-                    Some(1) => puller.failed(ask.source(), now),
-                    Some(2) => puller.waited(ask.source(), now),
-                    _ => puller.got(ask.source(), &ask.want()[0]),
+                    Some(1) => puller.record_failure(ask.source(), now),
+                    Some(2) => puller.record_not_yet(ask.source(), now),
+                    _ => puller.record_chunk(ask.source(), &ask.want()[0]),
                 }
             }
             now = now.after(Duration::from_millis(500));
             rounds += 1;
             prop_assert!(rounds < 20_000);
         }
-        prop_assert_eq!(puller.share(), 1000);
+        prop_assert_eq!(puller.held_permille(), 1000);
     }
 }
 
 #[test]
 fn only_verified_bytes_get_into_the_store_and_within_its_bound() {
-    let mut store: Store<Vec<u8>> = Store::new(10);
+    let mut store: ChunkStore<Vec<u8>> = ChunkStore::new(10);
     let (a, b) = (vec![1; 6], vec![2; 6]);
     let wrong = store.put(Digest::of(&a), b.clone()).unwrap_err();
     assert_eq!(wrong.code(), Code::CorruptChunk);
-    assert!(!store.holds(&Digest::of(&a)));
+    assert!(!store.contains(&Digest::of(&a)));
     store.put(Digest::of(&a), a.clone()).unwrap();
     store.put(Digest::of(&a), a.clone()).unwrap();
     assert_eq!(store.used(), 6);
@@ -250,7 +257,7 @@
 
 #[test]
 fn a_bucket_holds_its_rate_over_time() {
-    let mut bucket = Bucket::new(1_000, 100);
+    let mut bucket = TokenBucket::new(1_000, 100);
     let mut now = Time::ZERO;
     let mut sent = 0;
     while now < Time::from_millis(10_000) {
@@ -260,40 +267,42 @@
         now = now.after(pause + Duration::from_millis(1));
     }
     assert!((9_000..=10_200).contains(&sent), "{sent}");
-    let mut open = Bucket::new(0, 0);
+    let mut open = TokenBucket::new(0, 0);
     assert_eq!(open.take(1 << 40, Time::ZERO), Duration::ZERO);
 }
 
 #[test]
 fn the_bound_is_what_the_design_says() {
     let window = Duration::from_secs(100);
-    let secs = |link, n, o| Bound::new(n, window, link).least(o).as_secs_f64();
+    let secs = |link, n, o| {
+        DistributionBound::new(n, window, link).min_duration(o).as_secs_f64()
+    };
     let close = |a: f64, b: f64| assert!((a - b).abs() < 0.01, "{a} {b}");
-    close(secs(Link::Each, 12, 4.0), 50.0);
+    close(secs(Duplex::Full, 12, 4.0), 50.0);
     // W / (1 + 2/N) for any number of copies.
-    close(secs(Link::Total, 12, 4.0), 100.0 / (1.0 + 2.0 / 12.0));
+    close(secs(Duplex::Half, 12, 4.0), 100.0 / (1.0 + 2.0 / 12.0));
     // One copy: (2N - 1) S / (N c).
-    close(secs(Link::Total, 12, 1.0), 23.0 / 24.0 * 100.0);
+    close(secs(Duplex::Half, 12, 1.0), 23.0 / 24.0 * 100.0);
 }
 
 #[test]
 fn a_full_link_is_left_to_answers() {
     let mut share = LinkShare::new();
-    assert_eq!(share.questions(20), 20);
+    assert_eq!(share.max_requests(20), 20);
     for _ in 0..3 {
-        share.sample(LinkShare::TARGET * 2);
+        share.record_delay(LinkShare::TARGET_DELAY * 2);
     }
-    assert_eq!(share.questions(20), 2);
-    share.sample(LinkShare::TARGET * 3 / 2);
-    assert_eq!(share.questions(20), 1);
+    assert_eq!(share.max_requests(20), 2);
+    share.record_delay(LinkShare::TARGET_DELAY * 3 / 2);
+    assert_eq!(share.max_requests(20), 1);
     for _ in 0..20 {
-        share.sample(LinkShare::TARGET * 2);
+        share.record_delay(LinkShare::TARGET_DELAY * 2);
     }
     // The transfer never stops altogether.
-    assert!(share.part() >= LinkShare::LEAST);
-    assert_eq!(share.questions(20), 1);
+    assert!(share.download() >= LinkShare::MIN_SHARE);
+    assert_eq!(share.max_requests(20), 1);
     for _ in 0..30 {
-        share.sample(Duration::from_millis(5));
+        share.record_delay(Duration::from_millis(5));
     }
-    assert_eq!(share.questions(20), 20);
+    assert_eq!(share.max_requests(20), 20);
 }
--- a/src/weights/bucket.rs
+++ b/src/weights/token_bucket.rs
@@ -6,17 +6,17 @@
 
 /// Shapes sending to a rate in bytes a second, with a burst.
 #[derive(Clone, Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     rate: u64,
     burst: u64,
     level: f64,
     at: Time,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// Returns a full bucket. A rate of 0 does not shape at all.
-    pub const fn new(rate: u64, burst: u64) -> Bucket {
-        Bucket { rate, burst, level: burst as f64, at: Time::ZERO }
+    pub const fn new(rate: u64, burst: u64) -> TokenBucket {
+        TokenBucket { rate, burst, level: burst as f64, at: Time::ZERO }
     }
 
     /// Shapes to another rate from now on.
--- a/src/weights/tree_tests.rs
+++ b/src/weights/tree_tests.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use super::tests::{halls, none, walk};
-use super::{Source, Walk};
+use super::{Source, SourceRanking};
 
 /// Returns how long a chunk takes to the last agent, in sends, where each
 /// agent sends to one other at a time.
@@ -13,7 +13,7 @@
     let mut children: HashMap<Arc<str>, Vec<Arc<str>>> = HashMap::new();
     let mut seed = None;
     for name in names {
-        let walk = Walk::new(b"v", all, hall, name, 1);
+        let walk = SourceRanking::new(b"v", all, hall, name, 1);
         let walk = if tree { walk.with_fanout(2) } else { walk };
         match walk.first(0, none, none) {
             Source::Near(from) => {
