--- a/src/weights.rs
+++ b/src/weights.rs
@@ -1,13 +1,13 @@
-//! How weights reach every replica.
+//! Distribution of weights to all replicas.
 //!
-//! There is no coordinator and nobody announces what it holds. A version is a
-//! [`Manifest`] of chunks named by digest; a [`SourceRanking`] ranks, for each chunk,
-//! who may be asked for it, the same on every process; a [`Puller`] asks each
-//! source for any of the chunks that it is first in charge of, and the source
-//! answers as soon as it holds one. A source that fails or stays silent is
-//! suspect for a while, and the chunks pass to the next in rank, so a dead
-//! seed costs time and not a herd of draws on the origin. `DESIGN.md` has
-//! what was weighed.
+//! There is no coordinator, and no process announces what it holds. A version
+//! is a [`Manifest`] of chunks identified by digest. A [`SourceRanking`] ranks
+//! the sources of each chunk, consistently on every process. A [`Puller`] asks
+//! each source for any of the chunks that the source is responsible for, and
+//! the source answers as soon as it holds one. A source that fails or stays
+//! silent is suspect for a while, and its chunks pass to the next source in
+//! rank order. A failed seed thus costs time but doesn't make all agents fetch
+//! from the origin at once. `DESIGN.md` discusses the alternatives.
 
 mod chunk_request;
 mod chunk_store;
--- a/src/weights/fetch_pace.rs
+++ b/src/weights/fetch_pace.rs
@@ -1,13 +1,13 @@
-//! How fast a copy comes to a replica that answers callers meanwhile.
+//! Pacing of a fetch on a replica that serves requests meanwhile.
 
 use std::time::Duration;
 
 use crate::Time;
 
-/// A copy that is spread over the time until it is needed.
+/// A fetch that is spread over the time until the version is needed.
 ///
-/// What comes over a link faster than it must stands in the way of requests
-/// and answers on the same link.
+/// Fetching faster than necessary delays requests and answers on the same
+/// link.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct FetchPace {
     chunks: usize,
@@ -16,21 +16,21 @@
 }
 
 impl FetchPace {
-    /// Returns the pace at which `chunks` that are missing at `start` come
-    /// until `end`.
+    /// Returns the pace at which the `chunks` missing at `start` arrive by
+    /// `end`.
     pub fn new(chunks: usize, start: Time, end: Time) -> FetchPace {
         FetchPace { chunks, start, span: end.since(start) }
     }
 
-    /// Returns how many chunks may still be missing at a moment.
+    /// Returns how many chunks may still be missing at `now`.
     pub fn missing_at(&self, now: Time) -> usize {
-        let gone = now.since(self.start);
-        if gone >= self.span {
+        let elapsed = now.since(self.start);
+        if elapsed >= self.span {
             return 0;
         }
-        let left = (self.span - gone).as_millis();
+        let remaining = (self.span - elapsed).as_millis();
         let span = self.span.as_millis().max(1);
-        let missing = self.chunks as u128 * left / span;
+        let missing = self.chunks as u128 * remaining / span;
         missing as usize
     }
 }
--- a/src/weights/manifest.rs
+++ b/src/weights/manifest.rs
@@ -4,7 +4,7 @@
 
 use crate::{Code, Digest, Error};
 
-/// One chunk: the digest of its bytes and how many there are.
+/// A chunk, identified by the digest of its bytes.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct Chunk {
     digest: Digest,
@@ -17,10 +17,9 @@
         Chunk { digest: Digest::of(bytes), size: bytes.len() as u32 }
     }
 
-    /// Returns a chunk of which only the digest is known, and a bound on its
-    /// size.
-    pub const fn with_digest(digest: Digest, most: u32) -> Chunk {
-        Chunk { digest, size: most }
+    /// Returns a chunk with a known digest and an upper bound on its size.
+    pub const fn with_digest(digest: Digest, max_size: u32) -> Chunk {
+        Chunk { digest, size: max_size }
     }
 
     /// Returns the digest of the chunk's bytes.
@@ -28,7 +27,7 @@
         self.digest
     }
 
-    /// Returns the number of bytes.
+    /// Returns the size in bytes.
     pub const fn size(self) -> u32 {
         self.size
     }
@@ -41,14 +40,14 @@
 }
 
 impl Manifest {
-    /// The most chunks of one manifest; its JSON stays below 2 MB.
+    /// The most chunks of one manifest, which keeps its JSON below 2 MB.
     pub const MAX_CHUNKS: usize = 16_384;
 
     /// Returns a manifest of chunks.
     ///
     /// # Errors
     ///
-    /// [`Code::BadManifest`] if there are none or more than
+    /// [`Code::BadManifest`] if there are no chunks or more than
     /// [`Manifest::MAX_CHUNKS`].
     pub fn new(chunks: Vec<Chunk>) -> Result<Manifest, Error> {
         let count = chunks.len();
@@ -56,7 +55,7 @@
             return Err(Error::new(
                 Code::BadManifest,
                 format_args!(
-                    "{count} chunks, allowed: 1 to {}",
+                    "manifest has {count} chunks, allowed: 1 to {}",
                     Manifest::MAX_CHUNKS
                 ),
             ));
@@ -64,7 +63,7 @@
         Ok(Manifest { chunks })
     }
 
-    /// Cuts bytes into chunks of `size` bytes, the last one shorter.
+    /// Splits bytes into chunks of `size` bytes; the last one may be shorter.
     ///
     /// # Errors
     ///
@@ -73,18 +72,20 @@
         Manifest::new(bytes.chunks(size.max(1)).map(Chunk::of).collect())
     }
 
-    /// Reads a manifest and checks it against the declared digest.
+    /// Parses a manifest after checking its bytes against the declared digest.
     ///
     /// # Errors
     ///
     /// [`Code::CorruptChunk`] if the digest differs, [`Code::BadManifest`] if
-    /// the bytes are not a manifest.
+    /// the bytes are not a valid manifest.
     pub fn parse(bytes: &[u8], digest: Digest) -> Result<Manifest, Error> {
         let found = Digest::of(bytes);
         if found != digest {
             return Err(Error::new(
                 Code::CorruptChunk,
-                format_args!("manifest {found}, declared: {digest}"),
+                format_args!(
+                    "manifest has digest {found}, declared: {digest}"
+                ),
             ));
         }
         let raw: Manifest = serde_json::from_slice(bytes)
@@ -92,7 +93,7 @@
         Manifest::new(raw.chunks)
     }
 
-    /// Returns the bytes that are published and named by digest.
+    /// Returns the encoded manifest, as it is published by digest.
     pub fn encode(&self) -> Vec<u8> {
         serde_json::to_vec(self).unwrap_or_default()
     }
@@ -102,7 +103,7 @@
         &self.chunks
     }
 
-    /// Returns the bytes of all chunks together.
+    /// Returns the total size of all chunks in bytes.
     pub fn size(&self) -> u64 {
         self.chunks.iter().map(|c| u64::from(c.size)).sum()
     }
--- a/src/weights/manifest_source.rs
+++ b/src/weights/manifest_source.rs
@@ -1,13 +1,14 @@
-//! Whom to ask for the manifest of a version.
+//! Selects where to ask for the manifest of a version.
 //!
-//! All agents learn of a new version within the same moment. If all of them
-//! asked the origin, its link would be busy with manifests for as long as a
-//! good part of a copy takes. So only the first in rank ask it, and the
-//! others ask agents that rank before them, where the question waits.
+//! All agents learn of a new version at the same moment. If all of them asked
+//! the origin, manifests would occupy its link for a considerable part of the
+//! time that a copy takes. Only the first agents in rank order therefore ask
+//! the origin. The others ask agents that rank before them, which hold the
+//! request until they have the manifest.
 
 use std::time::Duration;
 
-/// Where the next question for a manifest goes.
+/// Where to send the next request for a manifest.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ManifestSource {
     /// The origin of weights.
@@ -17,42 +18,44 @@
 }
 
 impl ManifestSource {
-    /// The agents that ask the origin at once.
+    /// How many agents ask the origin right away.
     pub const ORIGIN_FETCHERS: usize = 4;
 
-    /// How many agents are asked first by as many others.
+    /// How many agents send their first request to the same agent.
     const FANOUT: usize = 3;
 
-    /// How long others wait for the drawers before the first of them asks
-    /// the origin itself.
+    /// How long the other agents wait before the first of them asks the origin
+    /// itself.
     pub const ORIGIN_FALLBACK_DELAY: Duration = Duration::from_millis(1_500);
 
-    /// How much later each agent loses patience than the one before it.
+    /// The additional delay per rank before an agent asks the origin.
     pub const ORIGIN_FALLBACK_STEP: Duration = Duration::from_millis(150);
 
-    /// Returns where the agent of rank `place` among `count` asks in its
-    /// `round`th question, counted from 0, after having waited for `waited`.
+    /// Returns where the agent of rank `own_rank` among `agents` sends its
+    /// request number `attempt`, counted from 0. `elapsed` is the time since
+    /// the search began.
     pub fn next(
-        place: usize,
-        count: usize,
-        round: usize,
-        waited: Duration,
+        own_rank: usize,
+        agents: usize,
+        attempt: usize,
+        elapsed: Duration,
     ) -> ManifestSource {
-        if count < 2 {
+        if agents < 2 {
             return ManifestSource::Origin;
         }
-        let late = ManifestSource::ORIGIN_FALLBACK_DELAY
+        let fallback_after = ManifestSource::ORIGIN_FALLBACK_DELAY
             + ManifestSource::ORIGIN_FALLBACK_STEP
-                * u32::try_from(place).unwrap_or(u32::MAX);
-        let draws = place < ManifestSource::ORIGIN_FETCHERS || waited >= late;
-        if draws && round.is_multiple_of(2) {
+                * u32::try_from(own_rank).unwrap_or(u32::MAX);
+        let asks_origin = own_rank < ManifestSource::ORIGIN_FETCHERS
+            || elapsed >= fallback_after;
+        if asks_origin && attempt.is_multiple_of(2) {
             return ManifestSource::Origin;
         }
-        let first = place / ManifestSource::FANOUT;
-        let asked = (first + round) % count;
-        if asked == place {
-            return ManifestSource::Agent((asked + 1) % count);
+        let start = own_rank / ManifestSource::FANOUT;
+        let target = (start + attempt) % agents;
+        if target == own_rank {
+            return ManifestSource::Agent((target + 1) % agents);
         }
-        ManifestSource::Agent(asked)
+        ManifestSource::Agent(target)
     }
 }
--- a/src/weights/version_choice.rs
+++ b/src/weights/version_choice.rs
@@ -1,48 +1,50 @@
-//! Which of several versions a replica takes next.
+//! Chooses which of several versions a replica fetches next.
 //!
-//! The newest named version is what is wanted in the end. But while its
-//! chunks cannot come, because the origin is away or because it was named a
-//! moment ago, a version named before it may be within reach, and the one in
-//! force may be near the end of its time. Each replica therefore takes the
-//! newest version that can be here by its turn. One that holds nothing has
-//! its turn at once: it takes what its hall serves, where that can be here
-//! well before the newest.
+//! The goal is the newest version. But while its chunks cannot arrive, because
+//! the origin is unreachable or the version was announced only a moment ago,
+//! an older version may be available, and the version being served may be
+//! about to expire. Each replica therefore takes the newest version that can
+//! arrive by its turn to load. A replica that holds no version may load at
+//! once: it takes the version that its hall serves if that arrives well before
+//! the newest.
 
 use std::time::Duration;
 
-/// What is known of one version that a replica could take.
+/// A version that a replica could take, and the state of its chunks.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct VersionCandidate {
     /// The version.
     pub version: u64,
-    /// Chunks that have not come here.
+    /// Number of chunks that this replica has not received.
     pub missing: usize,
-    /// Chunks that have not come to the hall.
+    /// Number of chunks that no process of the hall has received.
     pub missing_in_hall: usize,
-    /// Whether nothing more comes to the hall for now.
+    /// Whether currently no more chunks arrive in the hall.
     pub stalled: bool,
-    /// How long until the replica's turn to take it.
+    /// How long until the replica's turn to load it.
     pub due_in: Duration,
     /// How long it may still be served.
     pub servable_for: Duration,
 }
 
-/// How long links take for one chunk of a version.
+/// Transfer times of one chunk of a version.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ChunkTransferTimes {
-    /// The link of the replica's instance.
+    /// On the link of the replica's instance.
     pub link: Duration,
-    /// The origin's link, over which a chunk comes once for all halls.
+    /// On the origin's link, which each chunk crosses once for all halls.
     pub origin: Duration,
 }
 
 impl VersionCandidate {
-    /// A version has to serve at least this long to be worth a load, which
-    /// takes 0.3 s beside what the replica finishes for it. More would leave
-    /// the last turns of a hall without any version while the newest is away.
+    /// The time that a version must be servable to be worth a load. Loading
+    /// takes 0.3 s in addition to finishing the requests in progress. With a
+    /// larger minimum, the replicas last to load in a hall would have no
+    /// version to serve while the newest is unavailable.
     pub const MIN_SERVING_TIME: Duration = Duration::from_millis(1_000);
 
-    /// Returns how long until all chunks are here, if they can come.
+    /// Returns how long until all chunks are here, or `None` if they cannot
+    /// arrive.
     pub fn fetch_time(&self, times: ChunkTransferTimes) -> Option<Duration> {
         if self.stalled && self.missing_in_hall > 0 {
             return None;
@@ -53,8 +55,9 @@
         Some(to_here.max(to_hall))
     }
 
-    /// Whether it may stand in for a newer one: nothing more has to be drawn
-    /// for it from where the newer one comes, and it serves long enough.
+    /// Returns whether it can be served in place of a newer version: the hall
+    /// holds all its chunks, so that fetching it doesn't compete with the
+    /// newer one, and it stays servable long enough.
     fn can_stand_in(&self, fetch_time: Duration) -> bool {
         self.missing_in_hall == 0
             && self.servable_for
@@ -62,11 +65,12 @@
     }
 }
 
-/// Returns the version to take: the newest that will be here by its turn;
-/// else the one that is here soonest, or the newest if none can come. An
-/// older one has to be here sooner by [`VersionCandidate::MIN_SERVING_TIME`].
+/// Returns the version to take: the newest that arrives by its turn; else the
+/// one that arrives first, or the newest if none can arrive. An older version
+/// must arrive earlier by at least [`VersionCandidate::MIN_SERVING_TIME`].
 ///
-/// `candidates` has the newest version first.
+/// `candidates` is sorted from newest to oldest. Returns `None` if it is
+/// empty.
 pub fn choose_version(
     candidates: &[VersionCandidate],
     times: ChunkTransferTimes,
@@ -75,16 +79,17 @@
     let mut soonest: Option<(Duration, u64)> = None;
     for candidate in candidates {
         let Some(fetch_time) = candidate.fetch_time(times) else { continue };
-        let last = candidate.version == newest.version;
-        if !last && !candidate.can_stand_in(fetch_time) {
+        let is_newest = candidate.version == newest.version;
+        if !is_newest && !candidate.can_stand_in(fetch_time) {
             continue;
         }
         if fetch_time <= candidate.due_in {
             return Some(candidate.version);
         }
-        let sooner =
-            |least| fetch_time + VersionCandidate::MIN_SERVING_TIME <= least;
-        if soonest.is_none_or(|(least, _)| sooner(least)) {
+        let is_sooner = |soonest_time| {
+            fetch_time + VersionCandidate::MIN_SERVING_TIME <= soonest_time
+        };
+        if soonest.is_none_or(|(soonest_time, _)| is_sooner(soonest_time)) {
             soonest = Some((fetch_time, candidate.version));
         }
     }
