--- a/src/weights/chunk_request.rs
+++ b/src/weights/chunk_request.rs
@@ -1,44 +1,46 @@
-//! One question to one source.
+//! A request for chunks from one source.
 
 use std::time::Duration;
 
 use super::Source;
 use crate::Digest;
 
-/// One question to one source.
+/// A request for chunks from one source.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ChunkRequest {
     pub(super) source: Source,
     pub(super) want: Vec<Digest>,
     pub(super) hold: Duration,
-    pub(super) hello: bool,
-    pub(super) tell: bool,
+    pub(super) first_contact: bool,
+    pub(super) holdings_only: bool,
 }
 
 impl ChunkRequest {
-    /// Returns whom to ask.
+    /// Returns the source to ask.
     pub fn source(&self) -> &Source {
         &self.source
     }
 
-    /// Returns the digests of which any one will do, the dearest first.
+    /// Returns the wanted digests in order of preference. The source sends any
+    /// one of them.
     pub fn want(&self) -> &[Digest] {
         &self.want
     }
 
-    /// Returns whether this is the first question to a peer, which is to say
-    /// what it holds of all chunks.
+    /// Returns whether this is the first request to a peer, which reports its
+    /// holdings of all chunks in reply.
     pub fn is_first_contact(&self) -> bool {
-        self.hello
+        self.first_contact
     }
 
-    /// Returns whether the source is only to say what it holds, once it holds
-    /// any of what is wanted.
+    /// Returns whether the source only reports its holdings, once it holds any
+    /// of the wanted chunks, and sends no chunk.
     pub fn is_holdings_only(&self) -> bool {
-        self.tell
+        self.holdings_only
     }
 
-    /// Returns how long the source may wait before it says "not yet".
+    /// Returns how long the source may hold the request before it answers "not
+    /// yet".
     pub fn hold(&self) -> Duration {
         self.hold
     }
--- a/src/weights/fetch_timeouts.rs
+++ b/src/weights/fetch_timeouts.rs
@@ -1,117 +1,121 @@
-//! How long a puller puts up with sources, and when it turns elsewhere.
+//! Time limits for sources, and when to fetch from others instead.
 
 use std::time::Duration;
 
 use crate::declaration::Prefer;
 
-/// How long a puller puts up with a source.
+/// Time limits that a puller applies to its sources.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct FetchTimeouts {
     pub(super) hold: Duration,
-    pub(super) waiting: Duration,
-    pub(super) suspect: Duration,
+    pub(super) not_yet_limit: Duration,
+    pub(super) suspicion: Duration,
     pub(super) takeover: Option<Takeover>,
-    pub(super) origin_pace: Duration,
+    pub(super) origin_interval: Duration,
 }
 
-/// When agents that are not in charge of a chunk draw it from the origin
-/// though nobody has failed: whoever is in charge may not reach the origin.
+/// When agents fetch a chunk from the origin that another agent is responsible
+/// for, although no source has failed: the responsible agent may be unable to
+/// reach the origin.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Takeover {
-    /// How long no chunk may come before the first in rank takes over.
+    /// How long no chunk may arrive before the first agent in rank order takes
+    /// over.
     pub after: Duration,
-    /// How much later each agent takes over than the one before it.
+    /// The additional delay per rank.
     pub step: Duration,
 }
 
 impl FetchTimeouts {
-    /// Returns the usual spans: a question waits at a source for a second, a
-    /// source that holds nothing new is left after five, and is suspect for
-    /// ten at first.
+    /// Returns the defaults: a source holds a request for 1 s, becomes suspect
+    /// after answering "not yet" for 5 s, and stays suspect for 10 s at first.
     pub const fn new() -> FetchTimeouts {
         FetchTimeouts {
             hold: Duration::from_secs(1),
-            waiting: Duration::from_secs(5),
-            suspect: Duration::from_secs(10),
+            not_yet_limit: Duration::from_secs(5),
+            suspicion: Duration::from_secs(10),
             takeover: None,
-            origin_pace: Duration::ZERO,
+            origin_interval: Duration::ZERO,
         }
     }
 
-    /// Returns it with how long the origin's link takes for one chunk.
+    /// Sets how long the origin's link takes to send one chunk.
     ///
-    /// The agents in charge then ask the origin one after the other, in the
-    /// order of the chunks: each chunk has the link for itself and is passed
-    /// on while the next one comes. Asked for all at once, the origin would
-    /// send all of them side by side, and all would be whole at the end only.
+    /// The responsible agents then ask the origin one after the other, in
+    /// chunk order, so that each chunk gets the whole link and is forwarded
+    /// while the next one arrives. If all chunks were requested at once, the
+    /// origin would send them in parallel and all would complete only at the
+    /// end.
     #[must_use]
     pub const fn with_origin_interval(
         mut self,
         span: Duration,
     ) -> FetchTimeouts {
-        self.origin_pace = span;
+        self.origin_interval = span;
         self
     }
 
-    /// Returns it with when others take over while no chunk comes at all.
+    /// Sets when other agents take over while no chunk arrives at all.
     #[must_use]
     pub const fn with_takeover(mut self, takeover: Takeover) -> FetchTimeouts {
         self.takeover = Some(takeover);
         self
     }
 
-    /// Returns it with how long a question may wait at a source.
+    /// Sets how long a source may hold a request.
     #[must_use]
     pub const fn with_hold(mut self, span: Duration) -> FetchTimeouts {
         self.hold = span;
         self
     }
 
-    /// Returns it with how long a source may have nothing new.
+    /// Sets how long a source may answer "not yet" before it becomes suspect.
     #[must_use]
     pub const fn with_not_yet_limit(
         mut self,
         span: Duration,
     ) -> FetchTimeouts {
-        self.waiting = span;
+        self.not_yet_limit = span;
         self
     }
 
-    /// Returns it with how long the first suspicion lasts; it doubles with
-    /// each further failure, up to [`FetchTimeouts::DOUBLINGS`] times.
+    /// Sets the duration of the first suspicion. It doubles with each further
+    /// failure, up to [`FetchTimeouts::MAX_DOUBLINGS`] times.
     #[must_use]
     pub const fn with_suspicion(mut self, span: Duration) -> FetchTimeouts {
-        self.suspect = span;
+        self.suspicion = span;
         self
     }
 
-    /// Returns it for what weighs more: where time does, a source without
-    /// news is left in half the time, at the risk of another draw on the
-    /// origin.
+    /// Adjusts the limits to the preference. If time is preferred, a source
+    /// that keeps answering "not yet" becomes suspect in half the time, at the
+    /// risk of fetching more copies from the origin.
     #[must_use]
     pub const fn preferring(mut self, prefer: Prefer) -> FetchTimeouts {
         if matches!(prefer, Prefer::Time) {
-            let half = self.waiting.as_nanos() as u64 / 2;
-            self.waiting = Duration::from_nanos(half);
+            let half = self.not_yet_limit.as_nanos() as u64 / 2;
+            self.not_yet_limit = Duration::from_nanos(half);
         }
         self
     }
 
-    /// A suspicion of the origin lasts this part of one of a peer.
-    pub const ORIGIN_PART: u32 = 10;
+    /// The origin is suspect for `1 / ORIGIN_SUSPICION_DIVISOR` of the time of
+    /// a peer.
+    pub const ORIGIN_SUSPICION_DIVISOR: u32 = 10;
 
     /// How often a suspicion doubles at most.
-    pub const DOUBLINGS: u32 = 4;
+    pub const MAX_DOUBLINGS: u32 = 4;
 
-    /// How often a suspicion of the origin doubles at most: everybody waits
-    /// for it to come back, and what is in charge of few chunks asks little.
-    pub const ORIGIN_DOUBLINGS: u32 = 0;
+    /// How often a suspicion of the origin doubles at most: never, since
+    /// all agents wait for the origin to recover, and an agent that is
+    /// responsible for few chunks sends few requests.
+    pub const MAX_ORIGIN_DOUBLINGS: u32 = 0;
 
     /// Returns the longest suspicion of the origin.
     pub const fn max_origin_suspicion(self) -> Duration {
-        let first = self.suspect.as_millis() as u64;
-        let first = first / FetchTimeouts::ORIGIN_PART as u64;
-        Duration::from_millis(first << FetchTimeouts::ORIGIN_DOUBLINGS)
+        let first = self.suspicion.as_millis() as u64;
+        let first = first / FetchTimeouts::ORIGIN_SUSPICION_DIVISOR as u64;
+        Duration::from_millis(first << FetchTimeouts::MAX_ORIGIN_DOUBLINGS)
     }
 }
 
--- a/src/weights/puller.rs
+++ b/src/weights/puller.rs
@@ -1,127 +1,132 @@
-//! What to ask of whom next, for one set of chunks.
+//! Decides which chunks to request from which source.
 //!
-//! Each source gets one question at a time: "any of these chunks, as soon as
-//! you hold one". The question waits at the source, so a chunk moves on the
-//! moment it arrives there, and no announcement is needed; the only control
-//! bytes are the questions themselves. A source is suspect after a failure,
-//! or when it keeps answering "not yet" beyond patience; its chunks pass to
-//! the next in rank until the suspicion lapses.
+//! Each source has at most one outstanding request: "any of these chunks, as
+//! soon as you hold one". The source holds the request until it can answer
+//! (long polling), so a chunk is forwarded as soon as it arrives and holdings
+//! need not be announced; the requests are the only control traffic. A source
+//! becomes suspect after a failure, or after answering "not yet" for too long.
+//! Its chunks pass to the next source in rank order until the suspicion
+//! expires.
 
 mod holders;
+mod source_state;
 mod stall;
-mod standing;
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
 
-use self::standing::Standing;
+use self::source_state::SourceState;
 use super::{
     Chunk, ChunkRequest, FetchTimeouts, Source, SourceRanking, Takeover,
 };
 use crate::{Digest, Time};
 
-/// A question that is out.
+/// An outstanding request.
 #[derive(Clone, Debug)]
-struct Asked {
+struct PendingRequest {
     want: Vec<usize>,
-    since: Time,
-    /// Whether it brings no chunk.
-    tell: bool,
+    sent_at: Time,
+    /// Whether the source only reports its holdings and sends no chunk.
+    holdings_only: bool,
 }
 
-/// A question to be sent because chunks are late.
+/// A request to send because chunks are overdue.
 #[derive(Clone, Debug)]
-struct LateAsk {
+struct StallRequest {
     source: Source,
     want: Vec<usize>,
-    /// Whether the source is only to say what it holds.
-    tell: bool,
+    /// Whether the source only reports its holdings and sends no chunk.
+    holdings_only: bool,
 }
 
-/// The state of drawing one set of chunks.
+/// The state of fetching one set of chunks.
+///
+/// Chunks are identified by their index in [`Puller::chunks`].
 #[derive(Clone, Debug)]
 pub struct Puller {
-    walk: SourceRanking,
+    ranking: SourceRanking,
     chunks: Vec<Chunk>,
     index: HashMap<Digest, usize>,
     held: Vec<bool>,
-    asked: BTreeMap<Source, Asked>,
-    standing: HashMap<Source, Standing>,
-    patience: FetchTimeouts,
-    turn: usize,
+    pending: BTreeMap<Source, PendingRequest>,
+    source_states: HashMap<Source, SourceState>,
+    timeouts: FetchTimeouts,
+    start_offset: usize,
     started: Option<Time>,
-    /// Sources that have given far less than their fellows.
-    slow: HashSet<Source>,
-    /// How many chunks were here, and since when.
-    gained: (usize, Time),
-    /// How many chunks came from peers, and since when.
-    passed_on: (usize, Time),
-    /// Since when only the last chunks have been missing.
-    last_since: Option<Time>,
+    /// Sources that delivered far fewer chunks than the others.
+    slow_sources: HashSet<Source>,
+    /// The number of chunks held, and when it last changed.
+    last_progress: (usize, Time),
+    /// The number of chunks received from peers, and when it last changed.
+    last_peer_progress: (usize, Time),
+    /// Since when only the final chunks have been missing.
+    final_chunks_since: Option<Time>,
     /// When the origin last failed.
-    origin_failed: Option<Time>,
+    origin_failed_at: Option<Time>,
 }
 
 impl Puller {
-    /// How long a question may be out before its chunks are also asked of
-    /// others that hold them.
-    const OVERDUE: Duration = Duration::from_millis(600);
+    /// How long a request may be outstanding before its chunks are also
+    /// requested from other holders.
+    const REQUEST_OVERDUE: Duration = Duration::from_millis(600);
 
-    /// The last chunks are those of which this part of all is missing.
-    const LAST_PART: usize = 8;
+    /// The final chunks are the last `1 / FINAL_CHUNKS_DIVISOR` of all chunks.
+    const FINAL_CHUNKS_DIVISOR: usize = 8;
 
-    /// When agents take the last chunks over.
-    const LAST: Takeover = Takeover {
+    /// When agents take over the final chunks from the responsible agent.
+    const FINAL_TAKEOVER: Takeover = Takeover {
         after: Duration::from_millis(300),
         step: Duration::from_millis(100),
     };
 
-    /// How long after the origin's last failure it may still be down.
-    const ORIGIN_RECENT: Duration = Duration::from_millis(3_000);
+    /// How long after a failure the origin is assumed to be still down.
+    const ORIGIN_FAILURE_RECENT: Duration = Duration::from_millis(3_000);
 
-    /// How long no chunk may come from a cache of the hall that answers. Who
-    /// asks the origin besides takes its link from the cache, and while the
-    /// origin is down a cache has nothing to give: 65 agents that all turned
-    /// to the origin at its return had it send 2.7 copies.
-    const CACHE_PATIENCE: Duration = Duration::from_millis(10_000);
+    /// How long to rely on a responsive cache of the hall that delivers no
+    /// chunk. Requests to the origin compete with the cache for the origin's
+    /// link, and during an origin outage a cache has nothing new: when 65
+    /// agents all turned to the recovered origin, it sent 2.7 copies.
+    const CACHE_STALL_LIMIT: Duration = Duration::from_millis(10_000);
 
-    /// How long the last chunks usually take.
-    const LAST_USUAL: Duration = Duration::from_millis(400);
+    /// How long the final chunks usually take.
+    const FINAL_CHUNKS_USUAL: Duration = Duration::from_millis(400);
 
-    /// How long nothing is drawn from outside the hall while its peers have
-    /// not said what they hold.
-    const GREETING: Duration = Duration::from_millis(400);
+    /// How long sources outside the hall are held back while peers of the hall
+    /// have not reported their holdings.
+    const FIRST_CONTACT_LIMIT: Duration = Duration::from_millis(400);
 
-    /// How long sources are compared before the slow ones are left.
-    const COMPARED: Duration = Duration::from_millis(1_500);
+    /// How long a fetch runs before slow sources are determined.
+    const SLOW_CHECK_DELAY: Duration = Duration::from_millis(1_500);
 
-    /// A source that has given less than this part of what is usual among
-    /// its fellows is slow.
-    const SLOW_PART: usize = 4;
+    /// A source is slow if it delivered less than `1 / SLOW_DIVISOR` of the
+    /// median of the hall's sources.
+    const SLOW_DIVISOR: usize = 4;
 
-    /// The most chunks named in one question, by their places: half a
-    /// kilobyte. A source has one question at a time, so one that names only
-    /// chunks which nobody has yet keeps back those that the source holds:
-    /// with 8, nine entries that held 60 in 100 of a version among them had 18
-    /// to 48 each after 6 s without the origin.
+    /// The most chunks named in one request, by index: half a kilobyte.
+    ///
+    /// A source has one request at a time. A request that names only chunks
+    /// which nobody has yet blocks those that the source does hold. With a
+    /// limit of 8, nine entries that together held 60% of a version had only
+    /// 18 to 48 chunks each after 6 s without the origin.
     pub const MAX_CHUNKS_PER_REQUEST: usize = 128;
 
-    /// How often those who may hold chunks are asked anew what they hold: they
-    /// draw too while no entry of the hall answers them. A question and its
-    /// answer are 0.6 KB.
-    const ASK_AGAIN: Duration = Duration::from_millis(1_000);
+    /// How often possible holders are asked for their holdings again: they
+    /// keep fetching while no entry of the hall answers them. A request and
+    /// its answer take 0.6 KB.
+    const HOLDINGS_REFRESH: Duration = Duration::from_millis(1_000);
 
-    /// The most chunks named to one who is known to hold them: each answer
-    /// brings one, and the others are left for those who hold them too.
-    const MOST_SURE: usize = 4;
+    /// The most chunks named to a source that is known to hold them. Each
+    /// answer carries one chunk; the rest are left to other holders.
+    const MAX_HELD_CHUNKS_PER_REQUEST: usize = 4;
 
-    /// Returns a puller of `chunks`; those for which `held` says yes are here
-    /// already. `turn` spreads where pullers of one hall begin.
+    /// Returns a puller of `chunks`, skipping those for which `held` returns
+    /// true. `start_offset` is the chunk to start with, so that the pullers of
+    /// a hall start at different chunks.
     pub fn new(
-        walk: SourceRanking,
+        ranking: SourceRanking,
         chunks: &[Chunk],
-        patience: FetchTimeouts,
-        turn: usize,
+        timeouts: FetchTimeouts,
+        start_offset: usize,
         held: impl Fn(&Digest) -> bool,
     ) -> Puller {
         let mut index = HashMap::new();
@@ -135,89 +140,94 @@
         }
         let held = unique.iter().map(|c| held(&c.digest())).collect();
         Puller {
-            walk,
+            ranking,
             chunks: unique,
             index,
             held,
-            asked: BTreeMap::new(),
-            standing: HashMap::new(),
-            patience,
-            turn,
+            pending: BTreeMap::new(),
+            source_states: HashMap::new(),
+            timeouts,
+            start_offset,
             started: None,
-            slow: HashSet::new(),
-            gained: (0, Time::ZERO),
-            passed_on: (0, Time::ZERO),
-            last_since: None,
-            origin_failed: None,
+            slow_sources: HashSet::new(),
+            last_progress: (0, Time::ZERO),
+            last_peer_progress: (0, Time::ZERO),
+            final_chunks_since: None,
+            origin_failed_at: None,
         }
     }
 
-    /// Goes on with other members. What is out, and what is known of the
-    /// sources, stays.
-    pub fn set_ranking(&mut self, walk: SourceRanking) {
-        self.walk = walk;
+    /// Replaces the ranking after a change of members. Outstanding requests
+    /// and the state of sources are kept.
+    pub fn set_ranking(&mut self, ranking: SourceRanking) {
+        self.ranking = ranking;
     }
 
-    /// Returns the questions to send now.
+    /// Returns the requests to send now.
     pub fn poll(&mut self, now: Time) -> Vec<ChunkRequest> {
         self.started.get_or_insert(now);
-        self.compare(now);
-        let mut asks = self.greetings(now);
+        self.update_slow_sources(now);
+        let mut requests = self.holdings_requests(now);
         let plan = self.plan(now);
-        // What peers of the hall hold is to be known before anything is
-        // drawn from outside: this agent may have restarted.
-        // A peer that is out of reach must not hold that up for long.
+        // Wait for the holdings of the hall's peers before fetching from
+        // outside the hall, since this agent may have restarted. The wait is
+        // bounded because a peer may be unreachable.
         let started = self.started.unwrap_or(now);
-        let greet = now.since(started) < Puller::GREETING
-            && (self.greets() || plan.keys().any(|s| self.unmet(s)));
+        let await_peers = now.since(started) < Puller::FIRST_CONTACT_LIMIT
+            && (self.awaits_first_contact()
+                || plan.keys().any(|s| self.is_uncontacted(s)));
         for (source, want) in plan {
             let near = matches!(source, Source::Near(_));
-            if self.suspect(&source, now) || (greet && !near) {
+            if self.is_suspect(&source, now) || (await_peers && !near) {
                 continue;
             }
-            asks.push(self.ask(source, want, self.patience.hold, now));
+            requests.push(self.request(source, want, self.timeouts.hold, now));
         }
-        // Where only a few questions may be out, chunks come in order.
+        // Where only a few requests may be outstanding, fetch the chunks in
+        // order.
         let count = self.chunks.len();
-        let turn = self.turn;
-        asks.sort_by_key(|ask| {
-            let first = ask.want.first().and_then(|d| self.index.get(d));
-            first.map_or(0, |i| (i + count - turn % count) % count)
+        let offset = self.start_offset;
+        requests.sort_by_key(|request| {
+            let first = request.want.first().and_then(|d| self.index.get(d));
+            first.map_or(0, |i| (i + count - offset % count) % count)
         });
-        for (source, want) in self.leftovers(now) {
-            asks.push(self.ask(source, want, Duration::ZERO, now));
+        for (source, want) in self.reassigned_requests(now) {
+            requests.push(self.request(source, want, Duration::ZERO, now));
         }
-        for late in self.stalled(now) {
-            let hold = self.patience.hold;
-            let ask = if late.tell {
-                self.ask_to_tell(late.source, late.want, hold, now)
+        for overdue in self.stall_requests(now) {
+            let hold = self.timeouts.hold;
+            let request = if overdue.holdings_only {
+                self.request_holdings(overdue.source, overdue.want, hold, now)
             } else {
-                self.ask(late.source, late.want, hold, now)
+                self.request(overdue.source, overdue.want, hold, now)
             };
-            asks.push(ask);
+            requests.push(request);
         }
-        asks
+        requests
     }
 
-    /// Returns what to ask of the sources in charge.
+    /// Returns the chunks to request from the source responsible for each.
     fn plan(&self, now: Time) -> BTreeMap<Source, Vec<usize>> {
         let mut plan: BTreeMap<Source, Vec<usize>> = BTreeMap::new();
-        let coming = self.asked.values().filter(|a| !a.tell);
-        let out: HashSet<usize> =
-            coming.flat_map(|a| &a.want).copied().collect();
+        let chunk_requests =
+            self.pending.values().filter(|r| !r.holdings_only);
+        let requested: HashSet<usize> =
+            chunk_requests.flat_map(|r| &r.want).copied().collect();
         let count = self.chunks.len();
         for step in 0..count {
-            let i = (self.turn + step) % count;
+            let i = (self.start_offset + step) % count;
             if self.held[i] {
                 continue;
             }
-            let source = self.source(i, now);
-            // While the origin is down its drawers ask peers too, and these
-            // questions wait; the origin is not to be asked later for it.
-            let elsewhere = out.contains(&i) && source != Source::Origin;
-            if elsewhere
-                || self.asked.contains_key(&source)
-                || self.too_early(&source, i, now)
+            let source = self.choose_source(i, now);
+            // While the origin is down, the agents that fetch from it also
+            // ask peers, which hold those requests. This must not delay the
+            // request to the origin.
+            let requested_elsewhere =
+                requested.contains(&i) && source != Source::Origin;
+            if requested_elsewhere
+                || self.pending.contains_key(&source)
+                || self.is_too_early(&source, i, now)
             {
                 continue;
             }
@@ -229,105 +239,124 @@
         plan
     }
 
-    /// Returns whether the origin still has earlier chunks to send.
-    fn too_early(&self, source: &Source, i: usize, now: Time) -> bool {
+    /// Returns whether the origin's link is still needed for earlier chunks.
+    fn is_too_early(&self, source: &Source, i: usize, now: Time) -> bool {
         let started = self.started.unwrap_or(now);
-        let due = started.after(self.patience.origin_pace * i as u32);
-        *source == Source::Origin && now < due
+        let due_at = started.after(self.timeouts.origin_interval * i as u32);
+        *source == Source::Origin && now < due_at
     }
 
-    /// Whether a first question to a peer of the hall is out.
-    fn greets(&self) -> bool {
-        self.asked.keys().any(|s| {
-            let standing = self.standing.get(s);
-            matches!(s, Source::Near(_)) && standing.is_some_and(|x| x.hello)
+    /// Returns whether a first request to a peer of the hall is outstanding.
+    fn awaits_first_contact(&self) -> bool {
+        self.pending.keys().any(|s| {
+            let state = self.source_states.get(s);
+            matches!(s, Source::Near(_))
+                && state.is_some_and(|x| x.first_contact_pending)
         })
     }
 
-    fn unmet(&self, source: &Source) -> bool {
-        let met = self.standing.get(source).is_some_and(|s| s.met);
-        matches!(source, Source::Near(_)) && !met
+    fn is_uncontacted(&self, source: &Source) -> bool {
+        let contacted =
+            self.source_states.get(source).is_some_and(|s| s.contacted);
+        matches!(source, Source::Near(_)) && !contacted
     }
 
-    fn ask(
+    fn request(
         &mut self,
         source: Source,
         want: Vec<usize>,
         hold: Duration,
         now: Time,
     ) -> ChunkRequest {
-        let standing = self.standing.entry(source.clone()).or_default();
-        // The first question comes back at once and says what is held there.
-        let hello = !standing.met;
-        let hold = if hello { Duration::ZERO } else { hold };
-        standing.met = true;
-        standing.asked_at = now;
-        standing.asked |= !hello;
-        standing.hello = hello;
+        let state = self.source_states.entry(source.clone()).or_default();
+        // The first request is answered at once, with the holdings of the
+        // source.
+        let first_contact = !state.contacted;
+        let hold = if first_contact { Duration::ZERO } else { hold };
+        state.contacted = true;
+        state.last_asked = now;
+        state.asked_for_chunks |= !first_contact;
+        state.first_contact_pending = first_contact;
         let digests = want.iter().map(|i| self.chunks[*i].digest()).collect();
-        let asked = Asked { want, since: now, tell: false };
-        self.asked.insert(source.clone(), asked);
-        ChunkRequest { source, want: digests, hold, hello, tell: false }
+        let pending =
+            PendingRequest { want, sent_at: now, holdings_only: false };
+        self.pending.insert(source.clone(), pending);
+        ChunkRequest {
+            source,
+            want: digests,
+            hold,
+            first_contact,
+            holdings_only: false,
+        }
     }
 
-    /// Asks a source to say what it holds, and to send nothing.
-    fn ask_to_tell(
+    /// Returns a request for a source's holdings, without chunks.
+    fn request_holdings(
         &mut self,
         source: Source,
         want: Vec<usize>,
         hold: Duration,
         now: Time,
     ) -> ChunkRequest {
-        let mut ask = self.ask(source, want, hold, now);
-        ask.tell = true;
-        if let Some(asked) = self.asked.get_mut(&ask.source) {
-            asked.tell = true;
+        let mut request = self.request(source, want, hold, now);
+        request.holdings_only = true;
+        if let Some(pending) = self.pending.get_mut(&request.source) {
+            pending.holdings_only = true;
         }
-        ask
+        request
     }
 
-    fn source(&self, i: usize, now: Time) -> Source {
-        self.walk.first(
+    fn choose_source(&self, i: usize, now: Time) -> Source {
+        self.ranking.choose_source(
             i,
-            |s| self.suspect(s, now),
-            |s| self.standing.get(s).is_some_and(|x| x.holds.contains(&i)),
+            |s| self.is_suspect(s, now),
+            |s| {
+                self.source_states
+                    .get(s)
+                    .is_some_and(|x| x.holdings.contains(&i))
+            },
         )
     }
 
-    fn suspect(&self, source: &Source, now: Time) -> bool {
-        self.slow.contains(source)
-            || self.standing.get(source).is_some_and(|s| s.until > now)
+    fn is_suspect(&self, source: &Source, now: Time) -> bool {
+        self.slow_sources.contains(source)
+            || self
+                .source_states
+                .get(source)
+                .is_some_and(|s| s.suspect_until > now)
     }
 
-    /// Takes note that a source sent a chunk, which was verified and kept.
+    /// Records that a source sent a chunk, which was verified and stored.
     pub fn record_chunk(&mut self, source: &Source, digest: &Digest) {
-        self.asked.remove(source);
+        self.pending.remove(source);
         if let Some(i) = self.index.get(digest) {
             self.held[*i] = true;
         }
-        let standing = self.standing.entry(source.clone()).or_default();
-        standing.strikes = 0;
-        standing.waiting = None;
-        standing.got += 1;
+        let state = self.source_states.entry(source.clone()).or_default();
+        state.failures = 0;
+        state.not_yet_since = None;
+        state.chunks_received += 1;
     }
 
-    /// Returns the chunks without repetition, as counted by [`Self::record_holdings`].
+    /// Returns the chunks without duplicates, in the order that
+    /// [`Self::record_holdings`] uses.
     pub fn chunks(&self) -> &[Chunk] {
         &self.chunks
     }
 
-    /// Returns whether all chunks are here.
+    /// Returns whether all chunks are held.
     pub fn is_complete(&self) -> bool {
         self.held.iter().all(|h| *h)
     }
 
-    /// Returns the chunks that are missing, as counted by [`Self::record_holdings`].
+    /// Returns the indices of missing chunks, as used by
+    /// [`Self::record_holdings`].
     pub fn missing(&self) -> impl Iterator<Item = usize> {
         let held = self.held.iter().enumerate();
         held.filter(|(_, held)| !**held).map(|(i, _)| i)
     }
 
-    /// Returns the share of chunks that are here, per mille.
+    /// Returns the share of chunks that are held, in permille.
     pub fn held_permille(&self) -> u32 {
         let held = self.held.iter().filter(|h| **h).count();
         (held * 1000 / self.held.len().max(1)) as u32
--- a/src/weights/puller/holders.rs
+++ b/src/weights/puller/holders.rs
@@ -1,4 +1,4 @@
-//! What to ask of those who hold chunks without being in charge of them.
+//! Requests to sources that hold chunks without being responsible for them.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -8,80 +8,99 @@
 use crate::weights::{ChunkRequest, Source};
 
 impl Puller {
-    /// Returns the questions to those who may hold some of the chunks: they
-    /// are to say at once what they hold, and again from time to time.
-    pub(super) fn greetings(&mut self, now: Time) -> Vec<ChunkRequest> {
+    /// Returns the requests for the holdings of processes that may hold part
+    /// of the version. They answer at once and are asked again periodically.
+    pub(super) fn holdings_requests(
+        &mut self,
+        now: Time,
+    ) -> Vec<ChunkRequest> {
         let want: Vec<usize> = self.missing().take(1).collect();
-        let mut asks = Vec::new();
+        let mut requests = Vec::new();
         if want.is_empty() {
-            return asks;
+            return requests;
         }
-        let part_holders: Vec<Source> = self.walk.part_holders().collect();
-        for source in part_holders {
-            let busy = self.asked.contains_key(&source);
-            let standing = self.standing.get(&source);
-            let due = standing.is_none_or(|s| {
-                !s.met || now.since(s.asked_at) >= Puller::ASK_AGAIN
+        let partial_holders: Vec<Source> =
+            self.ranking.partial_holders().collect();
+        for source in partial_holders {
+            let is_pending = self.pending.contains_key(&source);
+            let state = self.source_states.get(&source);
+            let is_due = state.is_none_or(|s| {
+                !s.contacted
+                    || now.since(s.last_asked) >= Puller::HOLDINGS_REFRESH
             });
-            if busy || !due || self.suspect(&source, now) {
+            if is_pending || !is_due || self.is_suspect(&source, now) {
                 continue;
             }
             let want = want.clone();
-            asks.push(self.ask_to_tell(source, want, Duration::ZERO, now));
+            requests.push(self.request_holdings(
+                source,
+                want,
+                Duration::ZERO,
+                now,
+            ));
         }
-        asks
+        requests
     }
 
-    /// Returns the chunks that may still come from where they were asked for.
+    /// Returns the chunks that outstanding requests may still deliver.
     ///
-    /// While no chunk comes at all, a question that waits at a source which
-    /// is not known to hold a chunk is no reason to leave the chunk where it
-    /// is known to be.
-    fn fresh(&self, coming: bool, now: Time) -> HashSet<usize> {
-        let mut fresh = HashSet::new();
-        for (source, asked) in &self.asked {
-            if asked.tell || now.since(asked.since) >= Puller::OVERDUE {
+    /// While no chunk arrives at all (`is_arriving` is false), a request only
+    /// counts if its source is known to hold the chunk; otherwise the chunk is
+    /// requested from a known holder.
+    fn expected_chunks(&self, is_arriving: bool, now: Time) -> HashSet<usize> {
+        let mut expected = HashSet::new();
+        for (source, pending) in &self.pending {
+            if pending.holdings_only
+                || now.since(pending.sent_at) >= Puller::REQUEST_OVERDUE
+            {
                 continue;
             }
-            let holds = self.standing.get(source).map(|s| &s.holds);
-            for i in &asked.want {
-                let sure = *source == Source::Origin
-                    || holds.is_some_and(|h| h.contains(i));
-                if coming || sure {
-                    fresh.insert(*i);
+            let holdings = self.source_states.get(source).map(|s| &s.holdings);
+            for i in &pending.want {
+                let is_holder = *source == Source::Origin
+                    || holdings.is_some_and(|h| h.contains(i));
+                if is_arriving || is_holder {
+                    expected.insert(*i);
                 }
             }
         }
-        fresh
+        expected
     }
 
-    /// Returns what to ask of idle sources that hold chunks of which others
-    /// are in charge, but late.
-    pub(super) fn leftovers(&self, now: Time) -> Vec<(Source, Vec<usize>)> {
-        let coming = now.since(self.gained.1) < Puller::OVERDUE;
-        let mut fresh = self.fresh(coming, now);
-        let mut leftovers = Vec::new();
-        for (source, standing) in &self.standing {
-            let busy = self.asked.contains_key(source);
-            // Links to other halls are dear: what is late there comes from
-            // the hall as a rule, and is asked of others once nothing comes.
-            let dear = matches!(source, Source::Far(_)) && coming;
-            if busy || dear || self.suspect(source, now) {
+    /// Returns the requests to idle sources that hold chunks which the
+    /// responsible source is late to deliver.
+    pub(super) fn reassigned_requests(
+        &self,
+        now: Time,
+    ) -> Vec<(Source, Vec<usize>)> {
+        let is_arriving =
+            now.since(self.last_progress.1) < Puller::REQUEST_OVERDUE;
+        let mut expected = self.expected_chunks(is_arriving, now);
+        let mut requests = Vec::new();
+        for (source, state) in &self.source_states {
+            let is_pending = self.pending.contains_key(source);
+            // Links between halls are expensive. A chunk that is late usually
+            // still arrives from within the hall, so other halls are asked
+            // only once no chunk arrives at all.
+            let is_expensive = matches!(source, Source::Far(_)) && is_arriving;
+            if is_pending || is_expensive || self.is_suspect(source, now) {
                 continue;
             }
             let mut want = Vec::new();
-            for i in &standing.holds {
-                let open = !self.held[*i] && !fresh.contains(i);
-                if open && want.len() < Puller::MOST_SURE {
+            for i in &state.holdings {
+                let is_needed = !self.held[*i] && !expected.contains(i);
+                if is_needed
+                    && want.len() < Puller::MAX_HELD_CHUNKS_PER_REQUEST
+                {
                     want.push(*i);
                 }
             }
             if want.is_empty() {
                 continue;
             }
-            fresh.extend(&want);
-            leftovers.push((source.clone(), want));
+            expected.extend(&want);
+            requests.push((source.clone(), want));
         }
-        leftovers
+        requests
     }
 }
--- a/src/weights/puller_tests.rs
+++ b/src/weights/puller_tests.rs
@@ -1,24 +1,26 @@
-//! Whom a puller asks for what.
+//! Tests of which chunks a puller requests from which source.
 
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::tests::{chunks, halls, walk};
+use super::tests::{chunks, halls, rank_sources};
 use super::{
     ChunkRequest, FetchTimeouts, LinkShare, ManifestSource, Puller, Source,
 };
 use crate::Time;
 
-/// A puller of one hall of five, which has asked its four peers once and has
-/// been answered with nothing.
-fn greeted_puller(count: usize) -> (Puller, Vec<Source>) {
+/// Returns a puller in a hall of five whose four peers have answered its first
+/// requests, holding no chunks.
+fn puller_after_first_contact(count: usize) -> (Puller, Vec<Source>) {
     let all = halls(1, 5);
-    let walk = walk(&all, 0, 0);
+    let ranking = rank_sources(&all, 0, 0);
     let mut puller =
-        Puller::new(walk, &chunks(count), FetchTimeouts::new(), 0, |_| false);
+        Puller::new(ranking, &chunks(count), FetchTimeouts::new(), 0, |_| {
+            false
+        });
     let mut peers = Vec::new();
-    for ask in puller.poll(Time::ZERO) {
-        peers.push(ask.source().clone());
+    for request in puller.poll(Time::ZERO) {
+        peers.push(request.source().clone());
     }
     assert_eq!(peers.len(), 4);
     for peer in &peers {
@@ -28,43 +30,43 @@
 }
 
 #[test]
-fn an_idle_source_gives_what_it_holds_though_another_is_in_charge() {
-    let (mut puller, peers) = greeted_puller(40);
+fn an_idle_holder_is_asked_for_overdue_chunks_of_another_source() {
+    let (mut puller, peers) = puller_after_first_contact(40);
     let now = Time::from_millis(10);
-    let asks = puller.poll(now);
-    let charge = |asks: &[ChunkRequest], peer: &Source| {
-        let ask = asks.iter().find(|a| a.source() == peer).unwrap();
-        ask.want().to_vec()
+    let requests = puller.poll(now);
+    let wanted_from = |requests: &[ChunkRequest], peer: &Source| {
+        let request = requests.iter().find(|a| a.source() == peer).unwrap();
+        request.want().to_vec()
     };
-    // One peer is in charge of chunks that it is slow to send, and another
-    // one has got hold of them.
+    // One peer is slow to send the chunks that it is responsible for, and
+    // another peer already holds them.
     let slow = &peers[0];
-    let wanted = charge(&asks, slow);
+    let wanted = wanted_from(&requests, slow);
     let holder = &peers[1];
     let held: Vec<bool> =
         puller.chunks().iter().map(|c| wanted.contains(&c.digest())).collect();
     puller.record_holdings(holder, held.into_iter());
     for peer in &peers[1..] {
-        for digest in charge(&asks, peer) {
+        for digest in wanted_from(&requests, peer) {
             puller.record_chunk(peer, &digest);
         }
     }
     let soon = puller.poll(Time::from_millis(20));
-    assert!(soon.iter().all(|a| a.want() != wanted), "too early");
+    assert!(soon.iter().all(|a| a.want() != wanted), "requested too early");
     let later = puller.poll(Time::from_millis(2_000));
-    let stolen = later.iter().find(|a| a.source() == holder).unwrap();
-    assert!(stolen.want().iter().all(|d| wanted.contains(d)));
+    let reassigned = later.iter().find(|a| a.source() == holder).unwrap();
+    assert!(reassigned.want().iter().all(|d| wanted.contains(d)));
 }
 
 #[test]
-fn a_source_far_slower_than_the_others_is_left() {
-    let (mut puller, peers) = greeted_puller(60);
+fn a_source_far_slower_than_the_others_becomes_suspect() {
+    let (mut puller, peers) = puller_after_first_contact(60);
     let slow = peers[0].clone();
     for step in 1..20u64 {
         let now = Time::from_millis(step * 150);
-        for ask in puller.poll(now) {
-            if *ask.source() != slow {
-                puller.record_chunk(ask.source(), &ask.want()[0]);
+        for request in puller.poll(now) {
+            if *request.source() != slow {
+                puller.record_chunk(request.source(), &request.want()[0]);
             }
         }
     }
@@ -75,10 +77,10 @@
 }
 
 #[test]
-fn the_origin_is_asked_again_soon_however_often_it_failed() {
+fn the_origin_is_retried_soon_after_repeated_failures() {
     let all = halls(1, 1);
     let mut puller = Puller::new(
-        walk(&all, 0, 0),
+        rank_sources(&all, 0, 0),
         &chunks(1),
         FetchTimeouts::new(),
         0,
@@ -96,49 +98,52 @@
 }
 
 #[test]
-fn a_silent_peer_does_not_hold_up_what_comes_from_outside() {
+fn silent_peers_do_not_delay_sources_outside_the_hall() {
     let all = halls(2, 3);
     let mut puller = Puller::new(
-        walk(&all, 0, 0),
+        rank_sources(&all, 0, 0),
         &chunks(24),
         FetchTimeouts::new(),
         0,
         |_| false,
     );
-    let far = |asks: &[ChunkRequest]| {
-        asks.iter().any(|a| !matches!(a.source(), Source::Near(_)))
+    let far = |requests: &[ChunkRequest]| {
+        requests.iter().any(|a| !matches!(a.source(), Source::Near(_)))
     };
-    let asks = puller.poll(Time::ZERO);
-    assert!(!far(&asks), "peers of the hall come first");
+    let requests = puller.poll(Time::ZERO);
+    assert!(!far(&requests), "peers of the hall come first");
     // None of them answers.
-    let asks = puller.poll(Time::from_millis(500));
-    assert!(far(&asks), "{asks:?}");
+    let requests = puller.poll(Time::from_millis(500));
+    assert!(far(&requests), "{requests:?}");
 }
 
 #[test]
-fn other_members_change_nothing_of_what_is_out_or_known() {
-    let (mut puller, peers) = greeted_puller(40);
+fn a_new_ranking_keeps_pending_requests_and_source_states() {
+    let (mut puller, peers) = puller_after_first_contact(40);
     let now = Time::from_millis(10);
     let before = puller.poll(now).len();
     assert_eq!(before, 5, "four peers and the origin");
     let all = halls(1, 6);
-    puller.set_ranking(walk(&all, 0, 0));
-    let asks = puller.poll(now);
-    assert!(asks.iter().all(|a| !peers.contains(a.source())), "{asks:?}");
+    puller.set_ranking(rank_sources(&all, 0, 0));
+    let requests = puller.poll(now);
+    assert!(
+        requests.iter().all(|a| !peers.contains(a.source())),
+        "{requests:?}"
+    );
 }
 
 #[test]
-fn only_the_first_in_rank_ask_the_origin_for_a_manifest() {
+fn only_the_first_ranks_ask_the_origin_for_a_manifest() {
     let count = 76;
     let at = |waited: u64| {
         let waited = Duration::from_millis(waited);
-        let asks = (0..count)
+        let requests = (0..count)
             .map(|place| ManifestSource::next(place, count, 0, waited));
-        asks.filter(|s| *s == ManifestSource::Origin).count()
+        requests.filter(|s| *s == ManifestSource::Origin).count()
     };
     assert_eq!(at(0), ManifestSource::ORIGIN_FETCHERS);
     assert_eq!(at(1_000), ManifestSource::ORIGIN_FETCHERS);
-    // Should all of these be out of reach, others follow a few at a time.
+    // If the first agents are unreachable, others follow a few at a time.
     assert_eq!(at(3_000), 11);
     for place in 0..count {
         for round in 0..10 {
@@ -152,82 +157,88 @@
 }
 
 #[test]
-fn late_probes_leave_a_link_most_of_its_sending() {
+fn moderate_probe_delays_keep_most_of_the_upload_share() {
     let mut share = LinkShare::new();
     for _ in 0..20 {
         share.record_delay(LinkShare::TARGET_DELAY * 3);
     }
     assert_eq!(share.upload(), LinkShare::MIN_UNCONGESTED_UPLOAD);
     assert!(!share.is_poor());
-    // A link that carries far less than it is said to is another matter.
+    // The link carries far less than its nominal rate.
     for _ in 0..5 {
         share.record_delay(LinkShare::CONGESTED_DELAY * 2);
     }
     assert!(share.upload() < 0.05 && share.is_poor());
-    // It does not get its share back at once.
+    // The share recovers only gradually.
     share.record_delay(LinkShare::TARGET_DELAY * 2);
     assert!(share.upload() < 0.05);
 }
 
 #[test]
-fn the_origin_is_asked_for_one_chunk_after_the_other() {
+fn the_origin_is_asked_for_chunks_one_after_the_other() {
     let all = halls(3, 8);
     let pace = Duration::from_millis(20);
-    let patience = FetchTimeouts::new().with_origin_interval(pace);
+    let timeouts = FetchTimeouts::new().with_origin_interval(pace);
     let list = chunks(96);
     let mut asked = vec![None; list.len()];
     for (h, (_, names)) in all.iter().enumerate() {
         for n in 0..names.len() {
-            let mut puller =
-                Puller::new(walk(&all, h, n), &list, patience, 0, |_| false);
+            let mut puller = Puller::new(
+                rank_sources(&all, h, n),
+                &list,
+                timeouts,
+                0,
+                |_| false,
+            );
             for ms in (0..4_000).step_by(10) {
                 let now = Time::from_millis(ms);
-                for ask in puller.poll(now) {
-                    if *ask.source() != Source::Origin {
-                        puller.record_not_yet(ask.source(), now);
+                for request in puller.poll(now) {
+                    if *request.source() != Source::Origin {
+                        puller.record_not_yet(request.source(), now);
                         continue;
                     }
-                    let digest = ask.want()[0];
+                    let digest = request.want()[0];
                     let i = list.iter().position(|c| c.digest() == digest);
                     asked[i.unwrap()] = Some(ms);
-                    puller.record_chunk(ask.source(), &digest);
+                    puller.record_chunk(request.source(), &digest);
                 }
             }
         }
     }
     for (i, at) in asked.iter().enumerate() {
-        let at = at.expect("each chunk is drawn");
+        let at = at.expect("each chunk is fetched");
         let due = 20 * i as u64;
-        // Peers of the hall are heard first.
+        // The hall's peers are asked for their holdings first.
         assert!(at >= due && at <= due + 450, "{i} at {at}");
     }
 }
 
 #[test]
-fn another_hall_is_not_asked_for_what_the_hall_still_sends() {
+fn other_halls_are_not_asked_while_the_own_hall_sends_chunks() {
     let all = halls(2, 4);
     let list = chunks(96);
-    let patience =
+    let timeouts =
         FetchTimeouts::new().with_not_yet_limit(Duration::from_secs(3_600));
     let mut puller =
-        Puller::new(walk(&all, 0, 0), &list, patience, 0, |_| false);
+        Puller::new(rank_sources(&all, 0, 0), &list, timeouts, 0, |_| false);
     let far = Source::Far(Arc::clone(&all[1].1[0]));
     puller.record_holdings(&far, std::iter::repeat_n(true, list.len()));
     let mut asked = 0;
     let mut late = 0;
     for ms in (0..6_000).step_by(100) {
         let now = Time::from_millis(ms);
-        for ask in puller.poll(now) {
-            let near = matches!(ask.source(), Source::Near(_));
-            let gives = near && ms < 3_000 && !ask.is_first_contact();
-            let other = *ask.source() == far && ask.hold().is_zero();
-            asked +=
-                usize::from(other && ms < 3_000 && !ask.is_first_contact());
+        for request in puller.poll(now) {
+            let near = matches!(request.source(), Source::Near(_));
+            let gives = near && ms < 3_000 && !request.is_first_contact();
+            let other = *request.source() == far && request.hold().is_zero();
+            asked += usize::from(
+                other && ms < 3_000 && !request.is_first_contact(),
+            );
             late += usize::from(other && ms > 4_000);
             if gives && ms % 400 == 0 {
-                puller.record_chunk(ask.source(), &ask.want()[0]);
+                puller.record_chunk(request.source(), &request.want()[0]);
             } else {
-                puller.record_not_yet(ask.source(), now);
+                puller.record_not_yet(request.source(), now);
             }
         }
     }
--- a/src/weights/request_queue.rs
+++ b/src/weights/request_queue.rs
@@ -1,48 +1,56 @@
-//! Which of the questions that are ready goes out next.
+//! The order in which requests are sent.
 
 use std::collections::VecDeque;
 
 use super::{ChunkRequest, Source};
 
-/// Questions that wait to be sent.
+/// Requests that wait to be sent.
 ///
-/// A poor link bears only a few questions to peers at a time, and each may
-/// wait at its peer. One to the origin never queues behind them: what nobody
-/// holds comes from there alone, and it is one at a time anyway.
+/// On a poor link only a few requests to peers may be outstanding, and peers
+/// may hold each of them for a while. A request to the origin doesn't wait
+/// behind them: a chunk that no peer holds can only come from the origin, and
+/// there is at most one such request.
 #[derive(Clone, Debug, Default)]
 pub struct RequestQueue {
-    origin: VecDeque<ChunkRequest>,
-    /// Questions to peers that are known to hold what is wanted.
-    sure: VecDeque<ChunkRequest>,
-    others: VecDeque<ChunkRequest>,
+    origin_requests: VecDeque<ChunkRequest>,
+    /// Requests to peers that are known to hold a wanted chunk.
+    holder_requests: VecDeque<ChunkRequest>,
+    other_requests: VecDeque<ChunkRequest>,
 }
 
 impl RequestQueue {
-    /// Returns a queue without questions.
+    /// Returns an empty queue.
     pub fn new() -> RequestQueue {
         RequestQueue::default()
     }
 
-    /// Adds a question.
-    pub fn push(&mut self, question: ChunkRequest) {
-        let queue = match question.source() {
-            Source::Origin => &mut self.origin,
-            // One that may not wait is for what lies there already.
-            _ if question.hold().is_zero() => &mut self.sure,
-            _ => &mut self.others,
+    /// Adds a request.
+    pub fn push(&mut self, request: ChunkRequest) {
+        let queue = match request.source() {
+            Source::Origin => &mut self.origin_requests,
+            // Requests without hold time are answered at once; most ask for
+            // chunks that the source is known to have.
+            _ if request.hold().is_zero() => &mut self.holder_requests,
+            _ => &mut self.other_requests,
         };
-        queue.push_back(question);
+        queue.push_back(request);
     }
 
-    /// Returns the next question to send while `out` others are out, of which
-    /// there may be `most` at a time.
-    pub fn next(&mut self, out: usize, most: usize) -> Option<ChunkRequest> {
-        if let Some(question) = self.origin.pop_front() {
-            return Some(question);
+    /// Returns the next request to send while `in_flight` others are
+    /// outstanding, of which there may be `max_in_flight`.
+    pub fn next(
+        &mut self,
+        in_flight: usize,
+        max_in_flight: usize,
+    ) -> Option<ChunkRequest> {
+        if let Some(request) = self.origin_requests.pop_front() {
+            return Some(request);
         }
-        if out >= most {
+        if in_flight >= max_in_flight {
             return None;
         }
-        self.sure.pop_front().or_else(|| self.others.pop_front())
+        self.holder_requests
+            .pop_front()
+            .or_else(|| self.other_requests.pop_front())
     }
 }
--- a/src/weights/source_ranking.rs
+++ b/src/weights/source_ranking.rs
@@ -1,15 +1,15 @@
-//! Who may be asked for a chunk, in rank order.
+//! Ranks the sources that an agent may fetch a chunk from.
 //!
-//! The halls and the agents of each hall are put in an order that depends on
-//! the version, and the order is turned by one for each chunk. Turning
-//! instead of hashing each chunk makes the shares of all agents equal to
-//! within one chunk (`DESIGN.md`, "Weights", has both figures).
+//! Halls, and the agents within each hall, are ordered by a hash of the
+//! version; the order is rotated by one position per chunk. Rotating instead
+//! of hashing each chunk keeps the load of all agents equal to within one
+//! chunk (`DESIGN.md`, "Weights", compares the two).
 
 use std::sync::Arc;
 
 use crate::rank;
 
-/// Where a chunk may be drawn from.
+/// A source of chunks.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Source {
     /// An agent of the same data hall.
@@ -30,43 +30,44 @@
     }
 }
 
-/// The ranks of halls and agents for one version, seen by one agent.
+/// The order in which one agent tries sources, per chunk of one version.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct SourceRanking {
-    me: Arc<str>,
+    own_name: Arc<str>,
     halls: Vec<Vec<Arc<str>>>,
-    mine: usize,
-    budget: usize,
-    turns: bool,
-    /// How many agents of the hall each one passes a chunk on to, if not the
-    /// seed to all.
+    own_hall: usize,
+    origin_copies: usize,
+    rotates: bool,
+    /// Fan-out of the distribution tree within the hall. Without one, the seed
+    /// sends to every agent.
     fanout: Option<usize>,
-    /// Processes of the hall that hold chunks for its agents.
+    /// Processes of the hall that cache chunks for its agents.
     caches: Vec<Arc<str>>,
-    /// Processes of the hall that hold all of the version.
+    /// Processes of the hall that hold the whole version.
     holders: Vec<Arc<str>>,
-    /// Processes of the hall that may hold some of it.
-    part_holders: Vec<Arc<str>>,
+    /// Processes of the hall that may hold part of the version.
+    partial_holders: Vec<Arc<str>>,
 }
 
 impl SourceRanking {
-    /// Agents of another hall that are asked before the next hall is.
-    const FAR_TRIES: usize = 2;
+    /// Agents tried in another hall before the next hall is tried.
+    const MAX_FAR_ATTEMPTS: usize = 2;
 
-    /// Agents of another hall that may have drawn a chunk which is late.
-    const DRAWERS: usize = 3;
+    /// Agents of another hall that may have fetched an overdue chunk from the
+    /// origin.
+    const MAX_ORIGIN_FETCHERS: usize = 3;
 
-    /// Returns the walk of agent `me` in `hall`, where `budget` halls may
-    /// each draw a whole copy from the origin.
+    /// Returns the ranking for agent `own_name` in `hall`, where up to
+    /// `origin_copies` halls each fetch a full copy from the origin.
     ///
-    /// `members` lists the agents that want the version by data hall. The
-    /// agent is added to its own hall if the list does not have it yet.
+    /// `members` lists the agents that want the version, by data hall. The
+    /// agent is added to its own hall if it is missing from the list.
     pub fn new(
         subject: &[u8],
         members: &[(Arc<str>, Vec<Arc<str>>)],
         hall: &Arc<str>,
-        me: &Arc<str>,
-        budget: u32,
+        own_name: &Arc<str>,
+        origin_copies: u32,
     ) -> SourceRanking {
         let mut names: Vec<Arc<str>> = Vec::new();
         for (name, _) in members {
@@ -76,103 +77,105 @@
             names.push(Arc::clone(hall));
         }
         let mut halls = Vec::new();
-        let mut mine = 0;
+        let mut own_hall = 0;
         for (i, name) in rank::order(subject, &names).iter().enumerate() {
-            let found = members.iter().find(|(n, _)| n == name);
-            let mut agents = found.map_or_else(Vec::new, |(_, a)| a.clone());
+            let listed = members.iter().find(|(n, _)| n == name);
+            let mut agents = listed.map_or_else(Vec::new, |(_, a)| a.clone());
             if name == hall {
-                mine = i;
-                if !agents.contains(me) {
-                    agents.push(Arc::clone(me));
+                own_hall = i;
+                if !agents.contains(own_name) {
+                    agents.push(Arc::clone(own_name));
                 }
             }
             halls.push(rank::order(subject, &agents));
         }
-        let budget = budget.max(1) as usize;
+        let origin_copies = origin_copies.max(1) as usize;
         SourceRanking {
-            me: Arc::clone(me),
+            own_name: Arc::clone(own_name),
             halls,
-            mine,
-            budget,
-            turns: true,
+            own_hall,
+            origin_copies,
+            rotates: true,
             fanout: None,
             caches: Vec::new(),
             holders: Vec::new(),
-            part_holders: Vec::new(),
+            partial_holders: Vec::new(),
         }
     }
 
-    /// Returns the walk in which caches of the hall are asked before anybody
-    /// else: their links are wider than those of agents, which need not pass
-    /// chunks on as long as one cache is left.
+    /// Tries the hall's caches before any other source. Their links are wider
+    /// than those of agents, which then don't forward chunks as long as one
+    /// cache is available.
     #[must_use]
     pub fn with_caches(mut self, caches: Vec<Arc<str>>) -> SourceRanking {
         self.caches = caches;
         self
     }
 
-    /// Returns the walk in which those who hold the whole version are asked
-    /// before anybody outside the hall.
+    /// Tries processes that hold the whole version before any source outside
+    /// the hall.
     #[must_use]
     pub fn with_holders(mut self, holders: Vec<Arc<str>>) -> SourceRanking {
         self.holders = holders;
         self
     }
 
-    /// Returns the walk in which those who may hold some of the version are
-    /// asked what they hold, and for it, before anybody outside the hall.
+    /// Tries processes that may hold part of the version before any source
+    /// outside the hall. They are asked which chunks they hold first.
     #[must_use]
     pub fn with_partial_holders(
         mut self,
-        part_holders: Vec<Arc<str>>,
+        partial_holders: Vec<Arc<str>>,
     ) -> SourceRanking {
-        self.part_holders = part_holders;
+        self.partial_holders = partial_holders;
         self
     }
 
-    /// Returns the walk in which a chunk passes from its seed through a tree
-    /// of the hall's agents, each of which sends it to `fanout` others.
+    /// Forwards each chunk from its seed through a tree of the hall's agents,
+    /// each of which sends it to `fanout` others.
     ///
-    /// A seed that sends to all of a large hall gets the chunk to the last
-    /// one late, and all wait for the last chunk.
+    /// With a single seed sending to a large hall, the last agent gets each
+    /// chunk late, which delays the whole version.
     #[must_use]
     pub fn with_fanout(mut self, fanout: usize) -> SourceRanking {
         self.fanout = Some(fanout.max(1));
         self
     }
 
-    /// Returns the baseline in which each agent draws all from the origin.
+    /// Returns the baseline strategy in which each agent fetches everything
+    /// from the origin.
     #[must_use]
     pub fn direct(mut self) -> SourceRanking {
-        self.halls = vec![vec![Arc::clone(&self.me)]];
-        self.mine = 0;
+        self.halls = vec![vec![Arc::clone(&self.own_name)]];
+        self.own_hall = 0;
         self
     }
 
-    /// Returns the baseline in which one seed a hall draws all from the
-    /// origin, and the others draw all from it.
+    /// Returns the baseline strategy in which one seed per hall fetches
+    /// everything from the origin and the others fetch from that seed.
     #[must_use]
     pub fn tree(mut self) -> SourceRanking {
-        self.budget = self.halls.len();
-        self.turns = false;
+        self.origin_copies = self.halls.len();
+        self.rotates = false;
         self
     }
 
-    /// Returns the first source in rank for chunk `index` that is not
+    /// Returns the first source in rank order for chunk `index` that is not
     /// suspect.
     ///
-    /// Caches of the hall come first, then its peers, in turn from the
-    /// chunk's seed. Where
-    /// this agent's own turn comes, it draws from a peer of its hall that is
-    /// known to hold the chunk (it may have joined late), else from outside
-    /// the hall. Where all else is suspect, the origin is the last resort.
-    pub fn first(
+    /// The order is: caches of the hall, ancestors in the distribution tree,
+    /// then the agents of the hall starting at the chunk's seed. If this agent
+    /// is next in that order, it fetches from a process of its hall that is
+    /// known to hold the chunk (this agent may have joined late), or else from
+    /// outside the hall. The origin is the last resort if all other sources
+    /// are suspect.
+    pub fn choose_source(
         &self,
         index: usize,
         suspect: impl Fn(&Source) -> bool,
         holds: impl Fn(&Source) -> bool,
     ) -> Source {
-        for name in spread(&self.caches, index) {
+        for name in rotated_by_chunk(&self.caches, index) {
             let source = Source::Near(Arc::clone(name));
             if !suspect(&source) {
                 return source;
@@ -184,10 +187,11 @@
                 return source;
             }
         }
-        for name in self.turned(self.mine, index) {
-            if *name == self.me {
-                let near = self.holder(index, &suspect, &holds);
-                return near.unwrap_or_else(|| self.outside(index, &suspect));
+        for name in self.rotated_agents(self.own_hall, index) {
+            if *name == self.own_name {
+                let near = self.hall_holder(index, &suspect, &holds);
+                return near
+                    .unwrap_or_else(|| self.outside_source(index, &suspect));
             }
             let source = Source::Near(Arc::clone(name));
             if !suspect(&source) {
@@ -197,40 +201,41 @@
         Source::Origin
     }
 
-    /// Returns who stands between this agent and the chunk's seed in the
-    /// hall's tree, the nearest first.
+    /// Returns the agents between this one and the chunk's seed in the hall's
+    /// distribution tree, nearest first.
     fn ancestors(&self, index: usize) -> Vec<Arc<str>> {
         let mut ancestors = Vec::new();
         let Some(fanout) = self.fanout else { return ancestors };
-        let order: Vec<&Arc<str>> = self.turned(self.mine, index).collect();
-        let place = order.iter().position(|name| **name == self.me);
-        let mut place = place.unwrap_or(0);
-        while place > 0 {
-            place = (place - 1) / fanout;
-            ancestors.push(Arc::clone(order[place]));
+        let order: Vec<&Arc<str>> =
+            self.rotated_agents(self.own_hall, index).collect();
+        let position = order.iter().position(|name| **name == self.own_name);
+        let mut position = position.unwrap_or(0);
+        while position > 0 {
+            position = (position - 1) / fanout;
+            ancestors.push(Arc::clone(order[position]));
         }
         ancestors
     }
 
-    fn holder(
+    fn hall_holder(
         &self,
         index: usize,
         suspect: &impl Fn(&Source) -> bool,
         holds: &impl Fn(&Source) -> bool,
     ) -> Option<Source> {
-        for name in self.turned(self.mine, index) {
+        for name in self.rotated_agents(self.own_hall, index) {
             let source = Source::Near(Arc::clone(name));
-            if *name != self.me && holds(&source) && !suspect(&source) {
+            if *name != self.own_name && holds(&source) && !suspect(&source) {
                 return Some(source);
             }
         }
-        for name in spread(&self.holders, index) {
+        for name in rotated_by_chunk(&self.holders, index) {
             let source = Source::Near(Arc::clone(name));
             if !suspect(&source) {
                 return Some(source);
             }
         }
-        for name in spread(&self.part_holders, index) {
+        for name in rotated_by_chunk(&self.partial_holders, index) {
             let source = Source::Near(Arc::clone(name));
             if holds(&source) && !suspect(&source) {
                 return Some(source);
@@ -239,21 +244,23 @@
         None
     }
 
-    /// From the seeds of halls that rank before this one, or the origin.
-    fn outside(
+    /// Returns a seed of a hall that ranks before this one, or the origin.
+    fn outside_source(
         &self,
         index: usize,
         suspect: &impl Fn(&Source) -> bool,
     ) -> Source {
-        let place = self.position(index, self.mine);
-        let draws = place < self.budget;
-        let before = if draws { 0 } else { place };
+        let halls_before = self.halls_before(index, self.own_hall);
+        let uses_origin = halls_before < self.origin_copies;
+        let before = if uses_origin { 0 } else { halls_before };
         for step in 0..before {
-            // Start among the halls that draw, so that these share the
-            // sending to those that do not.
-            let step = (place % self.budget + step) % before;
+            // Start among the halls that fetch from the origin, so that they
+            // share the load of serving the other halls.
+            let step = (halls_before % self.origin_copies + step) % before;
             let hall = (index + step) % self.halls.len();
-            for name in self.turned(hall, index).take(SourceRanking::FAR_TRIES)
+            for name in self
+                .rotated_agents(hall, index)
+                .take(SourceRanking::MAX_FAR_ATTEMPTS)
             {
                 let source = Source::Far(Arc::clone(name));
                 if !suspect(&source) {
@@ -264,26 +271,27 @@
         if !suspect(&Source::Origin) {
             return Source::Origin;
         }
-        self.rest(index, suspect)
+        self.fallback_source(index, suspect)
     }
 
-    /// With the origin suspect too, anybody who might hold the chunk.
-    fn rest(
+    /// Returns any agent that may hold the chunk, for when the origin is
+    /// suspect as well.
+    fn fallback_source(
         &self,
         index: usize,
         suspect: &impl Fn(&Source) -> bool,
     ) -> Source {
-        for name in self.turned(self.mine, index) {
+        for name in self.rotated_agents(self.own_hall, index) {
             let source = Source::Near(Arc::clone(name));
-            if *name != self.me && !suspect(&source) {
+            if *name != self.own_name && !suspect(&source) {
                 return source;
             }
         }
         for hall in 0..self.halls.len() {
-            if hall == self.mine {
+            if hall == self.own_hall {
                 continue;
             }
-            for name in self.turned(hall, index) {
+            for name in self.rotated_agents(hall, index) {
                 let source = Source::Far(Arc::clone(name));
                 if !suspect(&source) {
                     return source;
@@ -293,32 +301,38 @@
         Source::Origin
     }
 
-    /// Returns how many agents of all halls rank before this one for a
-    /// chunk, about.
-    pub fn place(&self, index: usize) -> usize {
-        let before = self.position(index, self.mine);
-        let mut place = 0;
+    /// Returns roughly how many agents of all halls rank before this one for a
+    /// chunk.
+    pub fn global_rank(&self, index: usize) -> usize {
+        let before = self.halls_before(index, self.own_hall);
+        let mut preceding = 0;
         for step in 0..before {
-            place += self.halls[(index + step) % self.halls.len()].len();
+            preceding += self.halls[(index + step) % self.halls.len()].len();
         }
-        let mut own = self.turned(self.mine, index);
-        place + own.position(|name| *name == self.me).unwrap_or(0)
+        let mut own = self.rotated_agents(self.own_hall, index);
+        preceding + own.position(|name| *name == self.own_name).unwrap_or(0)
     }
 
-    /// Returns how many agents of this hall rank before this one for a
-    /// chunk.
-    pub fn hall_place(&self, index: usize) -> usize {
-        let mut own = self.turned(self.mine, index);
-        own.position(|name| *name == self.me).unwrap_or(0)
+    /// Returns how many agents of this hall rank before this one for a chunk.
+    pub fn hall_rank(&self, index: usize) -> usize {
+        let mut own = self.rotated_agents(self.own_hall, index);
+        own.position(|name| *name == self.own_name).unwrap_or(0)
     }
 
-    /// Returns the agents of another hall that draw a chunk from the origin,
-    /// one after the other should the first of them not bring it; none if
-    /// they belong to this hall.
-    pub fn drawers(&self, index: usize) -> impl Iterator<Item = Source> {
+    /// Returns the agents of another hall that fetch a chunk from the origin,
+    /// in the order in which they take over from each other. Empty if this
+    /// hall fetches the chunk.
+    pub fn origin_fetchers(
+        &self,
+        index: usize,
+    ) -> impl Iterator<Item = Source> {
         let hall = index % self.halls.len();
-        let most = if hall == self.mine { 0 } else { SourceRanking::DRAWERS };
-        let names = self.turned(hall, index).take(most);
+        let max_fetchers = if hall == self.own_hall {
+            0
+        } else {
+            SourceRanking::MAX_ORIGIN_FETCHERS
+        };
+        let names = self.rotated_agents(hall, index).take(max_fetchers);
         names.map(|name| Source::Far(Arc::clone(name)))
     }
 
@@ -327,41 +341,43 @@
         self.caches.iter().map(|name| Source::Near(Arc::clone(name)))
     }
 
-    /// Returns those of the hall who may hold some of the version.
-    pub fn part_holders(&self) -> impl Iterator<Item = Source> {
-        self.part_holders.iter().map(|name| Source::Near(Arc::clone(name)))
+    /// Returns the processes of the hall that may hold part of the version.
+    pub fn partial_holders(&self) -> impl Iterator<Item = Source> {
+        self.partial_holders.iter().map(|name| Source::Near(Arc::clone(name)))
     }
 
     /// Returns the other agents of the hall.
-    pub fn fellows(&self) -> impl Iterator<Item = Source> {
-        let others = self.halls[self.mine].iter().filter(|n| **n != self.me);
+    pub fn hall_peers(&self) -> impl Iterator<Item = Source> {
+        let others =
+            self.halls[self.own_hall].iter().filter(|n| **n != self.own_name);
         others.map(|name| Source::Near(Arc::clone(name)))
     }
 
-    /// How many halls rank before `hall` for a chunk.
-    fn position(&self, index: usize, hall: usize) -> usize {
+    /// Returns how many halls rank before `hall` for a chunk.
+    fn halls_before(&self, index: usize, hall: usize) -> usize {
         let count = self.halls.len();
         (hall + count - index % count) % count
     }
 
-    /// The agents of a hall, starting with the chunk's seed there.
+    /// Returns the agents of a hall, starting with the chunk's seed.
     ///
-    /// The turn goes on only every `halls` chunks, or hall and agent would
-    /// turn together and some agents would draw all that comes from outside.
-    fn turned(
+    /// The start advances once every `halls` chunks. If it advanced with every
+    /// chunk, hall and agent would rotate in step, and a few agents would
+    /// fetch everything that comes from outside the hall.
+    fn rotated_agents(
         &self,
         hall: usize,
         index: usize,
     ) -> impl Iterator<Item = &Arc<str>> {
         let agents = &self.halls[hall];
-        let turn = if self.turns { index / self.halls.len() } else { 0 };
-        let start = turn % agents.len().max(1);
+        let offset = if self.rotates { index / self.halls.len() } else { 0 };
+        let start = offset % agents.len().max(1);
         agents.iter().cycle().skip(start).take(agents.len())
     }
 }
 
-/// Returns all of some processes, beginning with another one for each chunk.
-fn spread(
+/// Returns all `names`, starting at a different one for each chunk.
+fn rotated_by_chunk(
     names: &[Arc<str>],
     index: usize,
 ) -> impl Iterator<Item = &Arc<str>> {
--- a/src/weights/tests.rs
+++ b/src/weights/tests.rs
@@ -22,7 +22,7 @@
     out
 }
 
-pub(super) fn walk(
+pub(super) fn rank_sources(
     all: &[(Arc<str>, Vec<Arc<str>>)],
     h: usize,
     i: usize,
@@ -39,8 +39,8 @@
     false
 }
 
-/// Counts who draws what from where if nobody fails.
-fn draws(
+/// Counts the chunks that each source sends if no source fails.
+fn chunks_sent(
     all: &[(Arc<str>, Vec<Arc<str>>)],
     count: usize,
     budget: u32,
@@ -48,9 +48,9 @@
     let mut sent = HashMap::new();
     for (hall, names) in all {
         for name in names {
-            let walk = SourceRanking::new(b"v", all, hall, name, budget);
+            let ranking = SourceRanking::new(b"v", all, hall, name, budget);
             for i in 0..count {
-                let source = walk.first(i, none, none);
+                let source = ranking.choose_source(i, none, none);
                 let source = match source {
                     Source::Far(n) | Source::Near(n) => Source::Near(n),
                     Source::Origin => Source::Origin,
@@ -63,11 +63,11 @@
 }
 
 #[test]
-fn each_chunk_leaves_the_origin_once_and_uploads_are_even() {
+fn the_origin_sends_each_chunk_once_and_uploads_are_even() {
     for (h, each) in [(3, 4), (6, 16)] {
         let all = halls(h, each);
         let count = h * each * 4;
-        let sent = draws(&all, count, 1);
+        let sent = chunks_sent(&all, count, 1);
         assert_eq!(sent[&Source::Origin], count as u64);
         let most = sent
             .iter()
@@ -79,29 +79,31 @@
 }
 
 #[test]
-fn a_budget_draws_as_many_copies() {
+fn the_origin_sends_the_configured_number_of_copies() {
     let all = halls(6, 4);
     for budget in 1..=6 {
-        let sent = draws(&all, 48, budget);
+        let sent = chunks_sent(&all, 48, budget);
         assert_eq!(sent[&Source::Origin], u64::from(budget) * 48);
     }
 }
 
 #[test]
-fn a_suspect_seed_is_followed_by_the_next_and_not_by_a_herd() {
+fn one_agent_replaces_a_suspect_seed() {
     let all = halls(1, 4);
-    let seed =
-        (0..4).find_map(|i| match walk(&all, 0, i).first(0, none, none) {
+    let seed = (0..4).find_map(|i| {
+        match rank_sources(&all, 0, i).choose_source(0, none, none) {
             Source::Near(name) => Some(name),
             _ => None,
-        });
+        }
+    });
     let dead = Source::Near(seed.unwrap());
     let mut origin = 0;
     for (i, name) in all[0].1.iter().enumerate() {
         if Source::Near(Arc::clone(name)) == dead {
             continue;
         }
-        let next = walk(&all, 0, i).first(0, |s| *s == dead, none);
+        let next =
+            rank_sources(&all, 0, i).choose_source(0, |s| *s == dead, none);
         origin += u32::from(next == Source::Origin);
         assert_ne!(next, dead);
     }
@@ -109,13 +111,13 @@
 }
 
 #[test]
-fn without_the_origin_any_peer_is_asked() {
+fn peers_are_asked_if_the_origin_is_suspect() {
     let all = halls(2, 2);
     for h in 0..2 {
         for i in 0..2 {
             for c in 0..8 {
                 let s = |s: &Source| *s == Source::Origin;
-                let next = walk(&all, h, i).first(c, s, none);
+                let next = rank_sources(&all, h, i).choose_source(c, s, none);
                 assert_ne!(next, Source::Origin);
             }
         }
@@ -123,49 +125,52 @@
 }
 
 #[test]
-fn a_late_joiner_draws_what_its_hall_holds_from_its_hall() {
+fn a_late_joiner_fetches_from_holders_in_its_hall() {
     let all = halls(2, 3);
     for c in 0..12 {
         let holds = |s: &Source| matches!(s, Source::Near(_));
-        let next = walk(&all, 0, 1).first(c, none, holds);
+        let next = rank_sources(&all, 0, 1).choose_source(c, none, holds);
         assert!(matches!(next, Source::Near(_)), "{next:?}");
     }
 }
 
 #[test]
-fn first_questions_come_back_at_once_and_hold_back_the_rest() {
+fn first_requests_are_not_held_and_precede_sources_outside_the_hall() {
     let all = halls(1, 3);
     let mut puller = Puller::new(
-        walk(&all, 0, 0),
+        rank_sources(&all, 0, 0),
         &chunks(9),
         FetchTimeouts::new(),
         0,
         |_| false,
     );
-    let asks = puller.poll(Time::ZERO);
-    assert_eq!(asks.len(), 2);
-    for ask in &asks {
-        assert!(ask.is_first_contact() && ask.hold().is_zero());
-        assert!(matches!(ask.source(), Source::Near(_)));
+    let requests = puller.poll(Time::ZERO);
+    assert_eq!(requests.len(), 2);
+    for request in &requests {
+        assert!(request.is_first_contact() && request.hold().is_zero());
+        assert!(matches!(request.source(), Source::Near(_)));
     }
-    for ask in &asks {
-        puller.record_not_yet(ask.source(), Time::ZERO);
+    for request in &requests {
+        puller.record_not_yet(request.source(), Time::ZERO);
     }
-    let asks = puller.poll(Time::ZERO);
-    assert!(asks.iter().any(|a| *a.source() == Source::Origin));
+    let requests = puller.poll(Time::ZERO);
+    assert!(requests.iter().any(|a| *a.source() == Source::Origin));
     assert!(
-        asks.iter()
+        requests
+            .iter()
             .all(|a| !a.is_first_contact() || *a.source() == Source::Origin)
     );
 }
 
 #[test]
-fn a_source_without_news_is_left_after_patience() {
+fn a_source_becomes_suspect_after_the_not_yet_limit() {
     let all = halls(1, 2);
-    let patience =
+    let timeouts =
         FetchTimeouts::new().with_not_yet_limit(Duration::from_secs(3));
     let mut puller =
-        Puller::new(walk(&all, 0, 0), &chunks(4), patience, 0, |_| false);
+        Puller::new(rank_sources(&all, 0, 0), &chunks(4), timeouts, 0, |_| {
+            false
+        });
     let peer = Source::Near(Arc::clone(&all[0].1[1]));
     let mut now = Time::ZERO;
     let mut rounds = 0;
@@ -180,37 +185,45 @@
 }
 
 proptest! {
-    /// Whatever sources fail, lie or wait, all chunks come in the end, no
-    /// source is asked twice at a time, no chunk is but for the last few once
-    /// these have stalled, and questions stay short.
+    /// However sources fail or answer, all chunks arrive in the end. No source
+    /// has two requests at a time, and requests stay short. A chunk is
+    /// requested twice at a time only when it is among the last few and these
+    /// have stalled.
     #[test]
-    fn a_puller_ends(
+    fn a_puller_completes(
         fates in prop::collection::vec(0u8..4, 1..200),
         count in 1usize..40,
     ) {
         let all = halls(3, 3);
         let mut puller = Puller::new(
-            walk(&all, 1, 1), &chunks(count), FetchTimeouts::new(), 3, |_| false,
+            rank_sources(&all, 1, 1),
+            &chunks(count),
+            FetchTimeouts::new(),
+            3,
+            |_| false,
         );
         let mut now = Time::ZERO;
         let mut fates = fates.into_iter().chain(std::iter::repeat(0));
         let mut rounds = 0;
         while !puller.is_complete() {
             let here = puller.held_permille() as usize * count / 1000;
-            let last = count - here <= (count / 8).max(1) + 1;
-            let asks = puller.poll(now);
+            let is_final = count - here <= (count / 8).max(1) + 1;
+            let requests = puller.poll(now);
             let mut seen = HashSet::new();
             let mut asked = HashSet::new();
-            for ask in asks {
-                prop_assert!(asked.insert(ask.source().clone()));
-                prop_assert!(ask.want().len() <= Puller::MAX_CHUNKS_PER_REQUEST);
-                for digest in ask.want() {
-                    prop_assert!(seen.insert(*digest) || last);
+            for request in requests {
+                prop_assert!(asked.insert(request.source().clone()));
+                prop_assert!(
+                    request.want().len() <= Puller::MAX_CHUNKS_PER_REQUEST
+                );
+                for digest in request.want() {
+                    prop_assert!(seen.insert(*digest) || is_final);
                 }
                 match fates.next() {
-                    Some(1) => puller.record_failure(ask.source(), now),
-                    Some(2) => puller.record_not_yet(ask.source(), now),
-                    _ => puller.record_chunk(ask.source(), &ask.want()[0]),
+                    Some(1) => puller.record_failure(request.source(), now),
+                    Some(2) => puller.record_not_yet(request.source(), now),
+                    _ => puller
+                        .record_chunk(request.source(), &request.want()[0]),
                 }
             }
             now = now.after(Duration::from_millis(500));
@@ -222,7 +235,7 @@
 }
 
 #[test]
-fn only_verified_bytes_get_into_the_store_and_within_its_bound() {
+fn the_store_accepts_only_verified_bytes_up_to_its_capacity() {
     let mut store: ChunkStore<Vec<u8>> = ChunkStore::new(10);
     let (a, b) = (vec![1; 6], vec![2; 6]);
     let wrong = store.put(Digest::of(&a), b.clone()).unwrap_err();
@@ -239,7 +252,7 @@
 }
 
 #[test]
-fn a_manifest_is_what_its_digest_says() {
+fn a_manifest_is_verified_against_its_digest() {
     let bytes: Vec<u8> = (0..1_000u32).map(|i| i as u8).collect();
     let manifest = Manifest::cut(&bytes, 300).unwrap();
     assert_eq!(manifest.chunks().len(), 4);
@@ -256,7 +269,7 @@
 }
 
 #[test]
-fn a_bucket_holds_its_rate_over_time() {
+fn a_token_bucket_holds_its_rate_over_time() {
     let mut bucket = TokenBucket::new(1_000, 100);
     let mut now = Time::ZERO;
     let mut sent = 0;
@@ -272,7 +285,7 @@
 }
 
 #[test]
-fn the_bound_is_what_the_design_says() {
+fn the_distribution_bound_matches_the_formulas() {
     let window = Duration::from_secs(100);
     let secs = |link, n, o| {
         DistributionBound::new(n, window, link).min_duration(o).as_secs_f64()
@@ -286,7 +299,7 @@
 }
 
 #[test]
-fn a_full_link_is_left_to_answers() {
+fn a_full_link_reduces_chunk_requests() {
     let mut share = LinkShare::new();
     assert_eq!(share.max_requests(20), 20);
     for _ in 0..3 {
