--- a/src/weights.rs
+++ b/src/weights.rs
@@ -1,41 +1,43 @@
-//! How weights reach every replica.
+//! Distribution of weights to all replicas.
 //!
-//! There is no coordinator and nobody announces what it holds. A version is a
-//! [`Manifest`] of chunks named by digest; a [`Walk`] ranks, for each chunk,
-//! who may be asked for it, the same on every process; a [`Puller`] asks each
-//! source for any of the chunks that it is first in charge of, and the source
-//! answers as soon as it holds one. A source that fails or stays silent is
-//! suspect for a while, and the chunks pass to the next in rank, so a dead
-//! seed costs time and not a herd of draws on the origin. `DESIGN.md` has
-//! what was weighed.
-
-mod bound;
-mod bucket;
+//! There is no coordinator, and no process announces what it holds. A version
+//! is a [`Manifest`] of chunks identified by digest. A [`SourceRanking`] ranks
+//! the sources of each chunk, consistently on every process. A [`Puller`] asks
+//! each source for any of the chunks that the source is responsible for, and
+//! the source answers as soon as it holds one. A source that fails or stays
+//! silent is suspect for a while, and its chunks pass to the next source in
+//! rank order. A failed seed thus costs time but doesn't make all agents fetch
+//! from the origin at once. `DESIGN.md` discusses the alternatives.
+
 mod chunk_request;
+mod chunk_store;
+mod distribution_bound;
 mod fetch_pace;
+mod fetch_timeouts;
 mod link_share;
 mod manifest;
 mod manifest_source;
-mod patience;
 mod puller;
-mod question_queue;
-mod store;
-mod succession;
-mod walk;
+mod request_queue;
+mod source_ranking;
+mod token_bucket;
+mod version_choice;
 
-pub use self::bound::{Bound, Link};
-pub use self::bucket::Bucket;
 pub use self::chunk_request::ChunkRequest;
+pub use self::chunk_store::ChunkStore;
+pub use self::distribution_bound::{DistributionBound, Duplex};
 pub use self::fetch_pace::FetchPace;
+pub use self::fetch_timeouts::{FetchTimeouts, Takeover};
 pub use self::link_share::LinkShare;
 pub use self::manifest::{Chunk, Manifest};
 pub use self::manifest_source::ManifestSource;
-pub use self::patience::{Patience, Takeover};
 pub use self::puller::Puller;
-pub use self::question_queue::QuestionQueue;
-pub use self::store::Store;
-pub use self::succession::{ChunkTimes, Prospect, choose_version};
-pub use self::walk::{Source, Walk};
+pub use self::request_queue::RequestQueue;
+pub use self::source_ranking::{Source, SourceRanking};
+pub use self::token_bucket::TokenBucket;
+pub use self::version_choice::{
+    ChunkTransferTimes, VersionCandidate, choose_version,
+};
 
 #[cfg(test)]
 mod cache_tests;
@@ -50,10 +52,10 @@
 mod puller_tests;
 
 #[cfg(test)]
-mod question_queue_tests;
+mod request_queue_tests;
 
 #[cfg(test)]
-mod succession_tests;
+mod version_choice_tests;
 
 #[cfg(test)]
 mod takeover_tests;
