--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -140,7 +140,7 @@
         let target = held.target();
         let fleet = view.fleet.as_ref();
         let model = fleet.and_then(|f| f.model(target.model()));
-        let wanted = model.map(|m| m.served().name());
+        let wanted = model.map(|m| m.served_version().name());
         if wanted == Some(target.version()) {
             pause.caught_up(now);
             return false;
--- a/crates/agent/src/drive.rs
+++ b/crates/agent/src/drive.rs
@@ -139,7 +139,7 @@
         let fleet = view.fleet.as_ref()?;
         let me = node.identity();
         let model = wanted(fleet, &view.listing, &me.hall, &me.name)?;
-        let version = model.served();
+        let version = model.served_version();
         let mut manifests = vec![version.manifest()];
         for adapter in model.adapters() {
             manifests.push(adapter.manifest());
--- a/crates/agent/src/fetch.rs
+++ b/crates/agent/src/fetch.rs
@@ -119,7 +119,7 @@
     let mut patience = agent.settings.patience();
     if let Some(fleet) = &view.fleet {
         halls = members(fleet, &view.listing, target.model());
-        budget = fleet.budget();
+        budget = fleet.origin_budget();
         patience = patience.preferring(fleet.prefer());
     }
     let mut subject = Vec::new();
--- a/crates/agent/src/orders.rs
+++ b/crates/agent/src/orders.rs
@@ -108,7 +108,7 @@
         let view = self.node.view();
         let me = &self.node.identity().name;
         let backend = view.fleet.as_ref().and_then(|f| f.backend(me));
-        backend.is_some_and(|b| b.fences())
+        backend.is_some_and(|b| b.checks_fences())
     }
 }
 
--- a/crates/cli/src/cmd/check.rs
+++ b/crates/cli/src/cmd/check.rs
@@ -4,7 +4,7 @@
 
 use argh::FromArgs;
 use stairhinge::Code;
-use stairhinge::declaration::{Fault, Faults, Fleet, MOST_BYTES};
+use stairhinge::declaration::{Fault, Faults, Fleet, MAX_DOCUMENT_BYTES};
 use stairhinge_shell::settings::Values;
 
 /// check a declaration or settings file; exits with 1 if it has faults
@@ -61,9 +61,9 @@
     let size = std::fs::metadata(path)
         .map_err(|e| fault(Code::Unreadable, &e, "a readable file"))?
         .len();
-    if size > MOST_BYTES as u64 {
+    if size > MAX_DOCUMENT_BYTES as u64 {
         let value = format!("{size} bytes");
-        let allowed = format!("at most {MOST_BYTES} bytes");
+        let allowed = format!("at most {MAX_DOCUMENT_BYTES} bytes");
         return Err(fault(Code::TooLarge, &value, &allowed));
     }
     std::fs::read_to_string(path)
--- a/crates/shell/src/control/fleet.rs
+++ b/crates/shell/src/control/fleet.rs
@@ -10,7 +10,7 @@
         Prefer::Time => schema::Prefer::Time,
         Prefer::Origin => schema::Prefer::Origin,
     });
-    to.set_origin_budget(fleet.budget());
+    to.set_origin_budget(fleet.origin_budget());
     let count = fleet.models().len() as u32;
     let mut models = to.reborrow().init_models(count);
     for (i, model) in fleet.models().iter().enumerate() {
@@ -44,7 +44,7 @@
         let mut out = backends.reborrow().get(i as u32);
         out.set_name(&**backend.name());
         out.set_site(&**backend.site());
-        out.set_checks_fences(backend.fences());
+        out.set_checks_fences(backend.checks_fences());
         if let Some(service) = backend.service() {
             out.set_service(&**service);
         }
@@ -54,7 +54,7 @@
 fn put_model(model: &Model, mut to: schema::model::Builder<'_>) {
     to.set_name(&**model.name());
     to.set_priority(model.priority());
-    to.set_serve(&**model.served().name());
+    to.set_serve(&**model.served_version().name());
     let count = model.versions().len() as u32;
     let mut versions = to.reborrow().init_versions(count);
     for (i, version) in model.versions().iter().enumerate() {
--- a/crates/shell/src/settings/values.rs
+++ b/crates/shell/src/settings/values.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 use serde_saphyr::Spanned;
 use stairhinge::Code;
-use stairhinge::declaration::{Fault, Faults, yaml};
+use stairhinge::declaration::{Fault, Faults, parse_yaml};
 
 use super::{Field, Shape};
 
@@ -38,7 +38,7 @@
     ///
     /// All faults at once, each with its line.
     pub fn parse(text: &str, table: &[Field]) -> Result<Values, Faults> {
-        let raw: Raw = yaml(text)?;
+        let raw: Raw = parse_yaml(text)?;
         let mut faults = Faults::new();
         for (name, value) in &raw {
             if table.iter().any(|f| f.name == *name) {
--- a/src/declaration.rs
+++ b/src/declaration.rs
@@ -17,10 +17,10 @@
 pub use self::fleet::{
     Adapter, Backend, Fleet, Model, Prefer, Service, Site, Version, Workspace,
 };
-pub use self::raw::yaml;
+pub use self::raw::parse_yaml;
 
 /// The most bytes that the platform's service holds as one value.
-pub const MOST_BYTES: usize = 1_000_000;
+pub const MAX_DOCUMENT_BYTES: usize = 1_000_000;
 
 #[cfg(test)]
 mod tests;
--- a/src/declaration/check.rs
+++ b/src/declaration/check.rs
@@ -11,9 +11,9 @@
     Backend, Fleet, Model, Prefer, Service, Site, Version, Workspace,
 };
 use super::raw::{
-    RawBackend, RawFleet, RawModel, RawPlacement, RawVersion, Text, yaml,
+    RawBackend, RawFleet, RawModel, RawPlacement, RawVersion, Text, parse_yaml,
 };
-use super::{Fault, Faults, MOST_BYTES};
+use super::{Fault, Faults, MAX_DOCUMENT_BYTES};
 use crate::{Code, Digest};
 
 const REVISION: RangeInclusive<i64> = 1..=i64::MAX;
@@ -55,16 +55,16 @@
     /// assert!(line.starts_with("line 1: 2004 revision: 0; allowed: 1 to"));
     /// ```
     pub fn parse(text: &str) -> Result<Fleet, Faults> {
-        if text.len() > MOST_BYTES {
+        if text.len() > MAX_DOCUMENT_BYTES {
             return Err(Faults::from(Fault::new(
                 Code::TooLarge,
                 0,
                 "file",
                 format_args!("{} bytes", text.len()),
-                format!("at most {MOST_BYTES} bytes"),
+                format!("at most {MAX_DOCUMENT_BYTES} bytes"),
             )));
         }
-        let raw: RawFleet = yaml(text)?;
+        let raw: RawFleet = parse_yaml(text)?;
         Checker::default().fleet(raw)
     }
 }
--- a/src/declaration/diff.rs
+++ b/src/declaration/diff.rs
@@ -58,17 +58,17 @@
         let Some(was) = old.model(name) else {
             lines.push(format!(
                 "model {name} is new: {} replicas fetch {}",
-                model.total(),
-                model.served().name()
+                model.total_replicas(),
+                model.served_version().name()
             ));
             continue;
         };
         served(was, model, lines);
-        if was.total() != model.total() {
+        if was.total_replicas() != model.total_replicas() {
             lines.push(format!(
                 "model {name}: {} replicas instead of {}",
-                model.total(),
-                was.total()
+                model.total_replicas(),
+                was.total_replicas()
             ));
         }
     }
@@ -81,14 +81,14 @@
 }
 
 fn served(was: &Model, model: &Model, lines: &mut Vec<String>) {
-    let (old, new) = (was.served(), model.served());
+    let (old, new) = (was.served_version(), model.served_version());
     if old.manifest() == new.manifest() {
         return;
     }
     lines.push(format!(
         "model {}: {} replicas switch from {} to {}",
         model.name(),
-        model.total(),
+        model.total_replicas(),
         old.name(),
         new.name()
     ));
--- a/src/declaration/fleet.rs
+++ b/src/declaration/fleet.rs
@@ -90,7 +90,7 @@
     }
 
     /// Returns the version to be in force.
-    pub fn served(&self) -> &Version {
+    pub fn served_version(&self) -> &Version {
         &self.versions[self.serve]
     }
 
@@ -110,7 +110,7 @@
     }
 
     /// Returns how many replicas there are to be over all data halls.
-    pub fn total(&self) -> u32 {
+    pub fn total_replicas(&self) -> u32 {
         self.placements.iter().map(|(_, n)| n).sum()
     }
 }
@@ -216,7 +216,7 @@
     }
 
     /// Returns whether it checks the fence of each order.
-    pub fn fences(&self) -> bool {
+    pub fn checks_fences(&self) -> bool {
         self.fences
     }
 }
@@ -254,12 +254,12 @@
     }
 
     /// Returns how many copies may be drawn from the origin, 1 to 16.
-    pub fn budget(&self) -> u32 {
+    pub fn origin_budget(&self) -> u32 {
         self.budget
     }
 
     /// Returns the window in which a new version is to be live.
-    pub fn window(&self) -> Duration {
+    pub fn rollout_window(&self) -> Duration {
         self.window
     }
 
@@ -315,7 +315,8 @@
 
     /// Returns one line for a person: what the fleet holds.
     pub fn summary(&self) -> String {
-        let replicas: u32 = self.models.iter().map(Model::total).sum();
+        let replicas: u32 =
+            self.models.iter().map(Model::total_replicas).sum();
         format!(
             "{} revision {}: {} models, {} replicas, {} services, {} sites, \
              {} workspaces, {} backend servers, prefer {}",
--- a/src/declaration/raw.rs
+++ b/src/declaration/raw.rs
@@ -94,7 +94,7 @@
 /// # Errors
 ///
 /// [`Code::BadYaml`] with the library's own complaint and the line.
-pub fn yaml<T: DeserializeOwned>(text: &str) -> Result<T, Faults> {
+pub fn parse_yaml<T: DeserializeOwned>(text: &str) -> Result<T, Faults> {
     serde_saphyr::from_str(text).map_err(|err| {
         let line = err.location().map_or(0, |l| l.line());
         let full = err.to_string();
--- a/src/declaration/tests.rs
+++ b/src/declaration/tests.rs
@@ -1,4 +1,4 @@
-use super::{Fleet, MOST_BYTES, Prefer, diff};
+use super::{Fleet, MAX_DOCUMENT_BYTES, Prefer, diff};
 
 const DIGEST: &str =
     "00000000000000000000000000000000000000000000000000000000000000ab";
@@ -34,9 +34,9 @@
     let fleet = Fleet::parse(&good()).unwrap();
     assert_eq!(fleet.revision(), 7);
     assert_eq!(fleet.prefer(), Prefer::Time);
-    assert_eq!(fleet.budget(), 1);
+    assert_eq!(fleet.origin_budget(), 1);
     let model = fleet.model("reader").unwrap();
-    assert_eq!(&**model.served().name(), "v1");
+    assert_eq!(&**model.served_version().name(), "v1");
     assert_eq!(model.replicas("seoul-a"), 4);
     assert_eq!(model.replicas("daegu-a"), 0);
     let backend = fleet.backend("b-1").unwrap();
@@ -110,7 +110,7 @@
 
 #[test]
 fn a_document_above_a_megabyte_is_refused_unread() {
-    let text = format!("{}#{}", good(), "x".repeat(MOST_BYTES));
+    let text = format!("{}#{}", good(), "x".repeat(MAX_DOCUMENT_BYTES));
     let faults = Fleet::parse(&text).unwrap_err();
     assert_eq!(faults.iter().next().unwrap().code().number(), 2005);
 }
