--- a/src/declaration.rs
+++ b/src/declaration.rs
@@ -1,10 +1,10 @@
-//! What operators declare.
+//! The declaration of a fleet, which operators write.
 //!
-//! A declaration is YAML under version control. [`Fleet::parse`] checks it
-//! whole and reports every fault at once, each with line, field, offending
-//! value and what would be allowed, so that a pipeline can refuse it before
-//! the platform publishes it. What comes out is typed, immutable and cheap to
-//! share; no other part of the system sees YAML.
+//! A declaration is a YAML file under version control. [`Fleet::parse`]
+//! validates the whole file and reports all faults together, each with its
+//! line, field, offending value and allowed values, so that a CI pipeline can
+//! reject the file before the platform publishes it. The result is typed and
+//! immutable. Other parts of the system read the typed form, never the YAML.
 
 mod check;
 mod diff;
@@ -19,7 +19,7 @@
 };
 pub use self::raw::parse_yaml;
 
-/// The most bytes that the platform's service holds as one value.
+/// The maximum size of a value in the platform service, in bytes.
 pub const MAX_DOCUMENT_BYTES: usize = 1_000_000;
 
 #[cfg(test)]
--- a/src/declaration/check.rs
+++ b/src/declaration/check.rs
@@ -1,4 +1,4 @@
-//! From the declaration as written to the checked one.
+//! Validation of a parsed declaration and its conversion to [`Fleet`].
 
 mod fields;
 
@@ -16,34 +16,35 @@
 use super::{Fault, Faults, MAX_DOCUMENT_BYTES};
 use crate::{Code, Digest};
 
-const REVISION: RangeInclusive<i64> = 1..=i64::MAX;
-const BUDGET: RangeInclusive<i64> = 1..=16;
-const WINDOW_S: RangeInclusive<i64> = 1..=86_400;
-const KEY_WINDOW_S: RangeInclusive<i64> = 0..=86_400;
-const PRIORITY: RangeInclusive<i64> = 0..=9;
-const SHARE: RangeInclusive<i64> = 1..=1_000;
-const REPLICAS: RangeInclusive<i64> = 0..=10_000;
+const REVISION_RANGE: RangeInclusive<i64> = 1..=i64::MAX;
+const ORIGIN_BUDGET_RANGE: RangeInclusive<i64> = 1..=16;
+const ROLLOUT_WINDOW_S_RANGE: RangeInclusive<i64> = 1..=86_400;
+const KEY_WINDOW_S_RANGE: RangeInclusive<i64> = 0..=86_400;
+const PRIORITY_RANGE: RangeInclusive<i64> = 0..=9;
+const SHARE_RANGE: RangeInclusive<i64> = 1..=1_000;
+const REPLICAS_RANGE: RangeInclusive<i64> = 0..=10_000;
 
-/// How many halls may each draw a whole copy from the origin where it is not
-/// declared. It is one for both preferences: measured at 12 replicas in 3
-/// halls, a second and third copy made the version live later, not sooner,
-/// since the origin's link then becomes the narrow place (`DESIGN.md`).
-const USUAL_BUDGET: i64 = 1;
+/// How many data halls may each fetch a whole copy from the origin if the
+/// declaration doesn't say. It is 1 for both preferences: with 12 replicas in
+/// 3 halls, a second and a third copy made the version live later, because
+/// the origin's link became the bottleneck (`DESIGN.md`).
+const DEFAULT_ORIGIN_BUDGET: i64 = 1;
 
-/// The window in which a version is to be live where none is declared.
-const USUAL_WINDOW_S: i64 = 300;
+/// The time within which a version is to be live if none is declared.
+const DEFAULT_ROLLOUT_WINDOW_S: i64 = 300;
 
-/// How long a key names one request where it is not declared: longer than an
-/// enumerator or clerk is known to press the button again.
-const USUAL_KEY_WINDOW_S: i64 = 600;
+/// How long an idempotency key identifies one request if the declaration
+/// doesn't say: longer than users are known to wait before they submit again.
+const DEFAULT_KEY_WINDOW_S: i64 = 600;
 
 impl Fleet {
-    /// Reads and checks a declaration.
+    /// Parses and validates a declaration.
     ///
     /// # Errors
     ///
-    /// All faults at once, each with its line; a fault of the YAML itself
-    /// hides those behind it.
+    /// All faults of the declaration, each with its line. A YAML syntax error
+    /// or a missing or unknown field is reported alone, since nothing else
+    /// can be validated then.
     ///
     /// # Examples
     ///
@@ -69,7 +70,7 @@
     }
 }
 
-/// Collects faults while the typed form is built.
+/// Collects the faults found while it builds the typed form.
 #[derive(Default)]
 struct Checker {
     faults: Faults,
@@ -77,26 +78,27 @@
 
 impl Checker {
     fn fleet(mut self, raw: RawFleet) -> Result<Fleet, Faults> {
-        let revision = self.number("revision", &raw.revision, REVISION);
-        let name = self.name("name", &raw.name);
+        let revision =
+            self.checked_number("revision", &raw.revision, REVISION_RANGE);
+        let name = self.checked_name("name", &raw.name);
         let prefer = self.prefer(raw.prefer.as_ref());
-        let budget = self.optional(
+        let origin_budget = self.number_or_default(
             "origin_budget",
             raw.origin_budget.as_ref(),
-            BUDGET,
-            USUAL_BUDGET,
+            ORIGIN_BUDGET_RANGE,
+            DEFAULT_ORIGIN_BUDGET,
         );
-        let window = self.optional(
+        let rollout_window = self.number_or_default(
             "window_s",
             raw.window_s.as_ref(),
-            WINDOW_S,
-            USUAL_WINDOW_S,
+            ROLLOUT_WINDOW_S_RANGE,
+            DEFAULT_ROLLOUT_WINDOW_S,
         );
-        let key_window = self.optional(
+        let key_window = self.number_or_default(
             "key_window_s",
             raw.key_window_s.as_ref(),
-            KEY_WINDOW_S,
-            USUAL_KEY_WINDOW_S,
+            KEY_WINDOW_S_RANGE,
+            DEFAULT_KEY_WINDOW_S,
         );
         let sites = self.sites(&raw);
         let models = self.models(&raw.models, &sites);
@@ -110,8 +112,8 @@
             revision: revision as u64,
             name,
             prefer,
-            budget: budget as u32,
-            window: Duration::from_secs(window as u64),
+            origin_budget: origin_budget as u32,
+            rollout_window: Duration::from_secs(rollout_window as u64),
             key_window: Duration::from_secs(key_window as u64),
             models,
             services,
@@ -125,13 +127,13 @@
         let mut seen = HashSet::new();
         let mut sites = Vec::new();
         for (i, site) in raw.sites.iter().enumerate() {
-            let name = self.unique(
+            let name = self.unique_name(
                 &format!("sites[{i}].name"),
                 &site.name,
                 &mut seen,
             );
             let region = match &site.region {
-                Some(r) => self.name(&format!("sites[{i}].region"), r),
+                Some(r) => self.checked_name(&format!("sites[{i}].region"), r),
                 None => Arc::clone(&name),
             };
             sites.push(Site { name, region });
@@ -144,19 +146,22 @@
         let mut models = Vec::new();
         for (i, model) in raw.iter().enumerate() {
             let at = format!("models[{i}]");
-            let name =
-                self.unique(&format!("{at}.name"), &model.name, &mut seen);
-            let priority = self.optional(
+            let name = self.unique_name(
+                &format!("{at}.name"),
+                &model.name,
+                &mut seen,
+            );
+            let priority = self.number_or_default(
                 &format!("{at}.priority"),
                 model.priority.as_ref(),
-                PRIORITY,
+                PRIORITY_RANGE,
                 5,
             );
             let versions =
                 self.versions(&format!("{at}.versions"), &model.versions);
             let adapters =
                 self.versions(&format!("{at}.adapters"), &model.adapters);
-            let serve = self.served(&at, &model.serve, &versions);
+            let served_index = self.served_index(&at, &model.serve, &versions);
             let placements = self.placements(&at, &model.placements, sites);
             models.push(Model {
                 name,
@@ -164,7 +169,7 @@
                 repeatable: model.repeatable.unwrap_or(true),
                 versions,
                 adapters,
-                serve,
+                served_index,
                 placements,
             });
         }
@@ -175,7 +180,7 @@
         let mut seen = HashSet::new();
         let mut versions = Vec::new();
         for (i, version) in raw.iter().enumerate() {
-            let name = self.unique(
+            let name = self.unique_name(
                 &format!("{at}[{i}].name"),
                 &version.name,
                 &mut seen,
@@ -187,7 +192,7 @@
                     text.referenced.line(),
                     format!("{at}[{i}].manifest"),
                     format_args!("\"{}\"", text.value),
-                    "a blake3 digest, 64 hex digits",
+                    "a blake3 digest of 64 hex digits",
                 ));
                 Digest::of(b"")
             });
@@ -196,11 +201,16 @@
         versions
     }
 
-    fn served(&mut self, at: &str, raw: &Text, all: &[Version]) -> usize {
+    fn served_index(
+        &mut self,
+        at: &str,
+        raw: &Text,
+        all: &[Version],
+    ) -> usize {
         let found = all.iter().position(|v| *v.name == *raw.value);
         found.unwrap_or_else(|| {
             let names = all.iter().map(|v| &v.name);
-            self.unknown(&format!("{at}.serve"), raw, names);
+            self.report_unknown(&format!("{at}.serve"), raw, names);
             0
         })
     }
@@ -215,16 +225,16 @@
         let mut placements = Vec::new();
         for (i, placement) in raw.iter().enumerate() {
             let field = format!("{at}.placements[{i}]");
-            let site = self.unique(
+            let site = self.unique_name(
                 &format!("{field}.site"),
                 &placement.site,
                 &mut seen,
             );
-            self.site(&format!("{field}.site"), &placement.site, sites);
-            let replicas = self.number(
+            self.check_site(&format!("{field}.site"), &placement.site, sites);
+            let replicas = self.checked_number(
                 &format!("{field}.replicas"),
                 &placement.replicas,
-                REPLICAS,
+                REPLICAS_RANGE,
             );
             placements.push((site, replicas as u32));
         }
@@ -235,7 +245,7 @@
         let mut seen = HashSet::new();
         let mut services = Vec::new();
         for (i, service) in raw.services.iter().enumerate() {
-            let name = self.unique(
+            let name = self.unique_name(
                 &format!("services[{i}].name"),
                 &service.name,
                 &mut seen,
@@ -251,18 +261,21 @@
         let mut workspaces = Vec::new();
         for (i, workspace) in raw.workspaces.iter().enumerate() {
             let at = format!("workspaces[{i}]");
-            let name =
-                self.unique(&format!("{at}.name"), &workspace.name, &mut seen);
-            let share = self.optional(
+            let name = self.unique_name(
+                &format!("{at}.name"),
+                &workspace.name,
+                &mut seen,
+            );
+            let share = self.number_or_default(
                 &format!("{at}.share"),
                 workspace.share.as_ref(),
-                SHARE,
+                SHARE_RANGE,
                 1,
             );
-            let priority = self.optional(
+            let priority = self.number_or_default(
                 &format!("{at}.priority"),
                 workspace.priority.as_ref(),
-                PRIORITY,
+                PRIORITY_RANGE,
                 5,
             );
             workspaces.push(Workspace::new(
@@ -284,13 +297,16 @@
         let mut backends = Vec::new();
         for (i, backend) in raw.iter().enumerate() {
             let at = format!("backends[{i}]");
-            let name =
-                self.unique(&format!("{at}.name"), &backend.name, &mut seen);
-            self.site(&format!("{at}.site"), &backend.site, sites);
+            let name = self.unique_name(
+                &format!("{at}.name"),
+                &backend.name,
+                &mut seen,
+            );
+            self.check_site(&format!("{at}.site"), &backend.site, sites);
             let service = backend.service.as_ref().map(|text| {
                 let known = services.iter().map(|s| &s.name);
                 if !known.clone().any(|n| **n == *text.value) {
-                    self.unknown(&format!("{at}.service"), text, known);
+                    self.report_unknown(&format!("{at}.service"), text, known);
                 }
                 Arc::from(text.value.as_str())
             });
@@ -298,17 +314,17 @@
                 name,
                 site: Arc::from(backend.site.value.as_str()),
                 service,
-                fences: backend.checks_fences.unwrap_or(true),
+                checks_fences: backend.checks_fences.unwrap_or(true),
             });
         }
         backends
     }
 
-    fn site(&mut self, field: &str, text: &Text, sites: &[Site]) {
+    fn check_site(&mut self, field: &str, text: &Text, sites: &[Site]) {
         if sites.iter().any(|s| *s.name == *text.value) {
             return;
         }
-        self.unknown(field, text, sites.iter().map(|s| &s.name));
+        self.report_unknown(field, text, sites.iter().map(|s| &s.name));
     }
 
     fn prefer(&mut self, raw: Option<&Text>) -> Prefer {
--- a/src/declaration/check/fields.rs
+++ b/src/declaration/check/fields.rs
@@ -1,4 +1,4 @@
-//! The checks that single fields of a declaration have in common.
+//! Validation of names, numbers and references in a declaration.
 
 use std::collections::HashSet;
 use std::ops::RangeInclusive;
@@ -9,46 +9,53 @@
 use super::Checker;
 use crate::Code;
 
-/// The longest name of anything declared, in bytes.
-const LONGEST_NAME: usize = 64;
+/// The maximum length of a declared name, in bytes.
+const MAX_NAME_BYTES: usize = 64;
 
 impl Checker {
-    pub(super) fn name(&mut self, field: &str, text: &Text) -> Arc<str> {
+    pub(super) fn checked_name(
+        &mut self,
+        field: &str,
+        text: &Text,
+    ) -> Arc<str> {
         let value = text.value.as_str();
-        let plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
-        let fits = (1..=LONGEST_NAME).contains(&value.len());
-        if !fits || !value.chars().all(plain) {
+        let is_allowed =
+            |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
+        let has_valid_length = (1..=MAX_NAME_BYTES).contains(&value.len());
+        if !has_valid_length || !value.chars().all(is_allowed) {
             self.faults.push(Fault::new(
                 Code::OutOfRange,
                 text.referenced.line(),
                 field,
                 format_args!("\"{value}\""),
-                format!("1 to {LONGEST_NAME} of a-z A-Z 0-9 - _ ."),
+                format!(
+                    "1 to {MAX_NAME_BYTES} characters of a-z A-Z 0-9 - _ ."
+                ),
             ));
         }
         Arc::from(value)
     }
 
-    pub(super) fn unique(
+    pub(super) fn unique_name(
         &mut self,
         field: &str,
         text: &Text,
         seen: &mut HashSet<Arc<str>>,
     ) -> Arc<str> {
-        let name = self.name(field, text);
+        let name = self.checked_name(field, text);
         if !seen.insert(Arc::clone(&name)) {
             self.faults.push(Fault::new(
                 Code::Duplicate,
                 text.referenced.line(),
                 field,
                 format_args!("\"{name}\""),
-                "a name that does not stand above",
+                "a name that is not used above",
             ));
         }
         name
     }
 
-    pub(super) fn number(
+    pub(super) fn checked_number(
         &mut self,
         field: &str,
         raw: &Number,
@@ -66,17 +73,17 @@
         raw.value
     }
 
-    pub(super) fn optional(
+    pub(super) fn number_or_default(
         &mut self,
         field: &str,
         raw: Option<&Number>,
         range: RangeInclusive<i64>,
-        usual: i64,
+        default: i64,
     ) -> i64 {
-        raw.map_or(usual, |n| self.number(field, n, range))
+        raw.map_or(default, |n| self.checked_number(field, n, range))
     }
 
-    pub(super) fn unknown<'a>(
+    pub(super) fn report_unknown<'a>(
         &mut self,
         field: &str,
         text: &Text,
--- a/src/declaration/diff.rs
+++ b/src/declaration/diff.rs
@@ -1,16 +1,16 @@
-//! What a change of the declaration would do, in an operator's words.
+//! Describes the effects of a change of the declaration to an operator.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use super::{Fleet, Model};
 
-/// Returns one line for each effect that publishing `new` after `old` has.
+/// Returns one line for each effect of publishing `new` after `old`.
 pub fn diff(old: &Fleet, new: &Fleet) -> Vec<String> {
     let mut lines = Vec::new();
     if new.revision() <= old.revision() {
         lines.push(format!(
-            "REFUSED: revision {} is not above {}",
+            "REFUSED: revision {} is not higher than {}",
             new.revision(),
             old.revision()
         ));
@@ -22,21 +22,21 @@
             old.prefer().as_str()
         ));
     }
-    models(old, new, &mut lines);
-    names(
+    diff_models(old, new, &mut lines);
+    diff_named(
         "workspace",
         old.workspaces().iter().map(|w| (w.name(), w)),
         new.workspaces().iter().map(|w| (w.name(), w)),
         &mut lines,
     );
-    names(
+    diff_named(
         "service",
         old.services().iter().map(|s| (s.name(), s)),
         new.services().iter().map(|s| (s.name(), s)),
         &mut lines,
     );
     let before = lines.len();
-    names(
+    diff_named(
         "backend server",
         old.backends().iter().map(|b| (b.name(), b)),
         new.backends().iter().map(|b| (b.name(), b)),
@@ -44,18 +44,18 @@
     );
     if lines.len() > before {
         lines.push(
-            "guards move: keyed requests that must not repeat are refused \
-             where a guard is new, until the key window has passed"
+            "guards move: keyed requests that must not be repeated are \
+             refused by new guards until the key window has passed"
                 .to_string(),
         );
     }
     lines
 }
 
-fn models(old: &Fleet, new: &Fleet, lines: &mut Vec<String>) {
+fn diff_models(old: &Fleet, new: &Fleet, lines: &mut Vec<String>) {
     for model in new.models() {
         let name = model.name();
-        let Some(was) = old.model(name) else {
+        let Some(previous) = old.model(name) else {
             lines.push(format!(
                 "model {name} is new: {} replicas fetch {}",
                 model.total_replicas(),
@@ -63,12 +63,12 @@
             ));
             continue;
         };
-        served(was, model, lines);
-        if was.total_replicas() != model.total_replicas() {
+        diff_served_version(previous, model, lines);
+        if previous.total_replicas() != model.total_replicas() {
             lines.push(format!(
                 "model {name}: {} replicas instead of {}",
                 model.total_replicas(),
-                was.total_replicas()
+                previous.total_replicas()
             ));
         }
     }
@@ -80,8 +80,12 @@
     }
 }
 
-fn served(was: &Model, model: &Model, lines: &mut Vec<String>) {
-    let (old, new) = (was.served_version(), model.served_version());
+fn diff_served_version(
+    previous: &Model,
+    model: &Model,
+    lines: &mut Vec<String>,
+) {
+    let (old, new) = (previous.served_version(), model.served_version());
     if old.manifest() == new.manifest() {
         return;
     }
@@ -94,7 +98,7 @@
     ));
 }
 
-fn names<'a, T: PartialEq + 'a>(
+fn diff_named<'a, T: PartialEq + 'a>(
     what: &str,
     old: impl Iterator<Item = (&'a Arc<str>, &'a T)>,
     new: impl Iterator<Item = (&'a Arc<str>, &'a T)>,
@@ -105,15 +109,15 @@
     for (name, item) in &new {
         match old.get(name) {
             None => lines.push(format!("{what} {name} is new")),
-            Some(was) if was != item => {
-                lines.push(format!("{what} {name} changes"));
+            Some(previous) if previous != item => {
+                lines.push(format!("{what} {name} is changed"));
             }
             Some(_) => {}
         }
     }
     for name in old.keys() {
         if !new.contains_key(name) {
-            lines.push(format!("{what} {name} goes"));
+            lines.push(format!("{what} {name} is removed"));
         }
     }
 }
--- a/src/declaration/fault.rs
+++ b/src/declaration/fault.rs
@@ -1,10 +1,10 @@
-//! Faults found in a file that a person wrote.
+//! Faults found when a declaration or settings file is validated.
 
 use std::fmt;
 
 use crate::{Code, Error};
 
-/// One fault in a file: where it is, what stands there, what may.
+/// A fault in a file: its position, the value found and the allowed values.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Fault {
     code: Code,
@@ -15,7 +15,7 @@
 }
 
 impl Fault {
-    /// Returns a fault at a line (counted from 1; 0 if not known).
+    /// Returns a fault at a line, counted from 1, or 0 if it is not known.
     pub fn new(
         code: Code,
         line: u64,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Returns the numbered code.
+    /// Returns the code.
     pub fn code(&self) -> Code {
         self.code
     }
@@ -58,7 +58,7 @@
     }
 }
 
-/// All faults of one file, in the order found.
+/// The faults of one file, in the order in which they were found.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Faults {
     list: Vec<Fault>,
@@ -75,17 +75,20 @@
         self.list.push(fault);
     }
 
-    /// Returns whether there are none.
+    /// Returns whether there are no faults.
     pub fn is_empty(&self) -> bool {
         self.list.is_empty()
     }
 
-    /// Returns the faults.
+    /// Returns an iterator over the faults.
     pub fn iter(&self) -> std::slice::Iter<'_, Fault> {
         self.list.iter()
     }
 
-    /// Returns an error that stands for them all under the first one's code.
+    /// Returns one error whose message lists all faults.
+    ///
+    /// It has the code of the first fault, or [`Code::Internal`] if there is
+    /// none.
     pub fn into_error(self) -> Error {
         let code = self.list.first().map_or(Code::Internal, Fault::code);
         Error::new(code, self)
--- a/src/declaration/fleet.rs
+++ b/src/declaration/fleet.rs
@@ -1,21 +1,21 @@
-//! A checked declaration.
+//! The validated declaration.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use crate::Digest;
 
-/// What weighs more when weights are distributed.
+/// Which cost matters more in the distribution of weights.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Prefer {
     /// The time until a version is live on all replicas.
     Time,
-    /// The bytes drawn from the origin.
+    /// The bytes fetched from the origin.
     Origin,
 }
 
 impl Prefer {
-    /// Returns the word used in declarations.
+    /// Returns the value used in declarations.
     pub const fn as_str(self) -> &'static str {
         match self {
             Prefer::Time => "time",
@@ -24,7 +24,8 @@
     }
 }
 
-/// A version or an adapter of a model: a name and the weights behind it.
+/// A version or an adapter of a model: a name and the digest of its weights'
+/// manifest.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct Version {
     pub(super) name: Arc<str>,
@@ -48,10 +49,10 @@
     }
 }
 
-/// An adapter, described as a version is.
+/// An adapter of a model; it has the same fields as a version.
 pub type Adapter = Version;
 
-/// A model with its versions and where it is to be served.
+/// A model with its versions and its placements in data halls.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Model {
     pub(super) name: Arc<str>,
@@ -59,7 +60,7 @@
     pub(super) repeatable: bool,
     pub(super) versions: Vec<Version>,
     pub(super) adapters: Vec<Adapter>,
-    pub(super) serve: usize,
+    pub(super) served_index: usize,
     pub(super) placements: Vec<(Arc<str>, u32)>,
 }
 
@@ -69,12 +70,13 @@
         &self.name
     }
 
-    /// Returns the priority, 0 to 9; the lower gets instances and links first.
+    /// Returns the priority, 0 to 9; models with lower values get instances
+    /// and link capacity first.
     pub fn priority(&self) -> u8 {
         self.priority
     }
 
-    /// Returns whether its requests may be repeated unless they say no.
+    /// Returns whether requests may be repeated unless they forbid it.
     pub fn repeatable(&self) -> bool {
         self.repeatable
     }
@@ -84,22 +86,22 @@
         &self.versions
     }
 
-    /// Returns the adapters that are loaded with each version.
+    /// Returns the adapters that are loaded together with each version.
     pub fn adapters(&self) -> &[Adapter] {
         &self.adapters
     }
 
-    /// Returns the version to be in force.
+    /// Returns the version to be served.
     pub fn served_version(&self) -> &Version {
-        &self.versions[self.serve]
+        &self.versions[self.served_index]
     }
 
-    /// Returns how many replicas each data hall is to have.
+    /// Returns the declared number of replicas in each data hall.
     pub fn placements(&self) -> &[(Arc<str>, u32)] {
         &self.placements
     }
 
-    /// Returns how many replicas one data hall is to have.
+    /// Returns the declared number of replicas in one data hall.
     pub fn replicas(&self, hall: &str) -> u32 {
         for (site, n) in &self.placements {
             if **site == *hall {
@@ -109,13 +111,13 @@
         0
     }
 
-    /// Returns how many replicas there are to be over all data halls.
+    /// Returns the declared number of replicas in all data halls.
     pub fn total_replicas(&self) -> u32 {
         self.placements.iter().map(|(_, n)| n).sum()
     }
 }
 
-/// A plain service beside the model engines.
+/// A service that is not a model engine.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Service {
     pub(super) name: Arc<str>,
@@ -128,7 +130,7 @@
         &self.name
     }
 
-    /// Returns whether its calls may be repeated unless they say no.
+    /// Returns whether calls may be repeated unless they forbid it.
     pub fn repeatable(&self) -> bool {
         self.repeatable
     }
@@ -147,13 +149,13 @@
         &self.name
     }
 
-    /// Returns the region that it lies in.
+    /// Returns the region of the data hall.
     pub fn region(&self) -> &Arc<str> {
         &self.region
     }
 }
 
-/// A workspace: whose requests they are.
+/// A workspace, on whose behalf requests are made.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Workspace {
     pub(super) name: Arc<str>,
@@ -176,31 +178,32 @@
         &self.name
     }
 
-    /// Returns the weight of its share under load, 1 to 1,000.
+    /// Returns its weight in fair sharing under load, 1 to 1,000.
     pub fn share(&self) -> u32 {
         self.share
     }
 
-    /// Returns the priority, 0 to 9; the lower goes first.
+    /// Returns the priority, 0 to 9; lower values are served first.
     pub fn priority(&self) -> u8 {
         self.priority
     }
 }
 
-/// A backend server that may be entrusted with work.
+/// A backend server that may be sent requests.
 ///
-/// Declared, and not taken from the instance list, because the guard of a key
-/// is chosen among these and must not move when the list lags.
+/// Backend servers are declared rather than taken from the instance list: the
+/// guard of a key is selected among them and must not change when the instance
+/// list is out of date.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Backend {
     pub(super) name: Arc<str>,
     pub(super) site: Arc<str>,
     pub(super) service: Option<Arc<str>>,
-    pub(super) fences: bool,
+    pub(super) checks_fences: bool,
 }
 
 impl Backend {
-    /// Returns the name, equal to the instance's name.
+    /// Returns the name, which equals the name of its instance.
     pub fn name(&self) -> &Arc<str> {
         &self.name
     }
@@ -210,25 +213,25 @@
         &self.site
     }
 
-    /// Returns the plain service behind it, or `None` for a model engine.
+    /// Returns its plain service, or `None` if it is a model engine.
     pub fn service(&self) -> Option<&Arc<str>> {
         self.service.as_ref()
     }
 
-    /// Returns whether it checks the fence of each order.
+    /// Returns whether it checks the fencing token of each order.
     pub fn checks_fences(&self) -> bool {
-        self.fences
+        self.checks_fences
     }
 }
 
-/// A checked declaration of the whole fleet.
+/// The validated declaration of a whole fleet.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Fleet {
     pub(super) revision: u64,
     pub(super) name: Arc<str>,
     pub(super) prefer: Prefer,
-    pub(super) budget: u32,
-    pub(super) window: Duration,
+    pub(super) origin_budget: u32,
+    pub(super) rollout_window: Duration,
     pub(super) key_window: Duration,
     pub(super) models: Vec<Model>,
     pub(super) services: Vec<Service>,
@@ -238,7 +241,7 @@
 }
 
 impl Fleet {
-    /// Returns the revision, which rises with each change.
+    /// Returns the revision, which increases with each change.
     pub fn revision(&self) -> u64 {
         self.revision
     }
@@ -248,22 +251,23 @@
         &self.name
     }
 
-    /// Returns what weighs more, time or bytes from the origin.
+    /// Returns which matters more, time or bytes fetched from the origin.
     pub fn prefer(&self) -> Prefer {
         self.prefer
     }
 
-    /// Returns how many copies may be drawn from the origin, 1 to 16.
+    /// Returns how many whole copies of a version may be fetched from the
+    /// origin, 1 to 16.
     pub fn origin_budget(&self) -> u32 {
-        self.budget
+        self.origin_budget
     }
 
-    /// Returns the window in which a new version is to be live.
+    /// Returns the time within which a new version is to be live.
     pub fn rollout_window(&self) -> Duration {
-        self.window
+        self.rollout_window
     }
 
-    /// Returns how long a key names one request.
+    /// Returns how long an idempotency key identifies one request.
     pub fn key_window(&self) -> Duration {
         self.key_window
     }
@@ -313,7 +317,7 @@
         self.backends.iter().find(|b| *b.name == *name)
     }
 
-    /// Returns one line for a person: what the fleet holds.
+    /// Returns a one-line summary for operators.
     pub fn summary(&self) -> String {
         let replicas: u32 =
             self.models.iter().map(Model::total_replicas).sum();
--- a/src/declaration/raw.rs
+++ b/src/declaration/raw.rs
@@ -1,4 +1,4 @@
-//! The declaration as written, with the place of each value.
+//! The declaration as deserialized from YAML, with the line of each value.
 
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
@@ -89,17 +89,18 @@
     pub checks_fences: Option<bool>,
 }
 
-/// Reads YAML into a type.
+/// Deserializes a value from YAML.
 ///
 /// # Errors
 ///
-/// [`Code::BadYaml`] with the library's own complaint and the line.
+/// [`Code::BadYaml`] with the line and the first line of the YAML library's
+/// message.
 pub fn parse_yaml<T: DeserializeOwned>(text: &str) -> Result<T, Faults> {
     serde_saphyr::from_str(text).map_err(|err| {
         let line = err.location().map_or(0, |l| l.line());
-        let full = err.to_string();
-        let first = full.lines().next().unwrap_or_default();
-        let shown = text
+        let message = err.to_string();
+        let summary = message.lines().next().unwrap_or_default();
+        let source_line = text
             .lines()
             .nth((line as usize).saturating_sub(1))
             .unwrap_or_default()
@@ -107,9 +108,9 @@
         Faults::from(Fault::new(
             Code::BadYaml,
             line,
-            format!("\"{shown}\""),
-            first,
-            "the fields of docs/SETTINGS.md, in YAML",
+            format!("\"{source_line}\""),
+            summary,
+            "YAML with the fields that docs/SETTINGS.md lists",
         ))
     })
 }
--- a/src/declaration/tests.rs
+++ b/src/declaration/tests.rs
@@ -3,7 +3,7 @@
 const DIGEST: &str =
     "00000000000000000000000000000000000000000000000000000000000000ab";
 
-fn good() -> String {
+fn valid_declaration() -> String {
     format!(
         "revision: 7
 name: haneul
@@ -30,8 +30,8 @@
 }
 
 #[test]
-fn a_good_declaration_is_typed() {
-    let fleet = Fleet::parse(&good()).unwrap();
+fn a_valid_declaration_is_parsed() {
+    let fleet = Fleet::parse(&valid_declaration()).unwrap();
     assert_eq!(fleet.revision(), 7);
     assert_eq!(fleet.prefer(), Prefer::Time);
     assert_eq!(fleet.origin_budget(), 1);
@@ -78,8 +78,8 @@
         ("name: s-1", "name: 's 1'", 2004, 19, "backends[0].name"),
     ];
     for (from, to, code, line, field) in table {
-        let text = good().replacen(from, to, 1);
-        assert_ne!(text, good(), "{from}");
+        let text = valid_declaration().replacen(from, to, 1);
+        assert_ne!(text, valid_declaration(), "{from}");
         let faults = Fleet::parse(&text).unwrap_err();
         let found = faults.iter().find(|f| f.field() == field);
         let found = found.unwrap_or_else(|| panic!("{to}: {faults}"));
@@ -90,7 +90,7 @@
 
 #[test]
 fn faults_are_reported_all_at_once() {
-    let text = good()
+    let text = valid_declaration()
         .replace("revision: 7", "revision: 0")
         .replace("share: 10", "share: 0")
         .replace("serve: v1", "serve: v9");
@@ -99,7 +99,7 @@
 
 #[test]
 fn unknown_fields_and_broken_yaml_name_the_line() {
-    let text = good().replace("prefer: time", "prefers: time");
+    let text = valid_declaration().replace("prefer: time", "prefers: time");
     let faults = Fleet::parse(&text).unwrap_err();
     let fault = faults.iter().next().unwrap();
     assert_eq!((fault.code().number(), fault.line()), (2001, 3));
@@ -109,15 +109,16 @@
 }
 
 #[test]
-fn a_document_above_a_megabyte_is_refused_unread() {
-    let text = format!("{}#{}", good(), "x".repeat(MAX_DOCUMENT_BYTES));
+fn a_document_above_the_size_limit_is_refused_unparsed() {
+    let text =
+        format!("{}#{}", valid_declaration(), "x".repeat(MAX_DOCUMENT_BYTES));
     let faults = Fleet::parse(&text).unwrap_err();
     assert_eq!(faults.iter().next().unwrap().code().number(), 2005);
 }
 
 #[test]
-fn diff_says_what_a_change_does() {
-    let old = Fleet::parse(&good()).unwrap();
+fn diff_describes_the_effects_of_a_change() {
+    let old = Fleet::parse(&valid_declaration()).unwrap();
     let table = [
         ("revision: 7", "revision: 6", "REFUSED: revision 6"),
         ("prefer: time", "prefer: origin", "distribution prefers origin"),
@@ -125,10 +126,10 @@
         ("name: enumerators", "name: clerks", "workspace clerks is new"),
         ("name: s-1", "name: s-2", "guards move"),
     ];
-    for (from, to, said) in table {
-        let text = good().replace(from, to);
+    for (from, to, expected) in table {
+        let text = valid_declaration().replace(from, to);
         let new = Fleet::parse(&text).unwrap();
         let lines = diff(&old, &new).join("\n");
-        assert!(lines.contains(said), "{to}: {lines}");
+        assert!(lines.contains(expected), "{to}: {lines}");
     }
 }
