--- a/crates/cli/src/cmd/explain_request.rs
+++ b/crates/cli/src/cmd/explain_request.rs
@@ -38,7 +38,7 @@
     for path in &args.files {
         read(&mut explainer, path)?;
     }
-    let (read, passed) = (explainer.lines_read(), explainer.lines_passed());
+    let (read, passed) = (explainer.lines_read(), explainer.lines_skipped());
     eprintln!("{read} decisions read, {passed} other lines");
     if args.summary {
         for ((outcome, kind), count) in explainer.summary() {
@@ -71,33 +71,33 @@
     let name = path.file_stem().unwrap_or(path.as_os_str());
     let process: Arc<str> = Arc::from(name.to_string_lossy().as_ref());
     for line in text.lines() {
-        explainer.read(&process, line);
+        explainer.read_line(&process, line);
     }
     Ok(())
 }
 
 fn drawn<'a>(explainer: &'a Explainer, args: &Args) -> Vec<&'a Arc<str>> {
     let Some(count) = args.draw else { return Vec::new() };
-    let failed = explainer.failed();
+    let failed = explainer.failed_requests();
     let mut random = StdRng::seed_from_u64(args.seed);
     failed.sample(&mut random, count).copied().collect()
 }
 
 fn print(id: &str, explanation: &Explanation<'_>) {
     let history = explanation.history;
-    let start = history.lines()[0].ms();
-    let at = |line: &LogLine| line.ms() as i64 - start as i64;
+    let start = history.lines()[0].uptime_ms();
+    let at = |line: &LogLine| line.uptime_ms() as i64 - start as i64;
     let entry = history.lines()[0].process();
     println!("request {id} at {entry}: {}", history.outcome().name());
-    for line in &explanation.beliefs {
+    for line in &explanation.entry_lines {
         println!("  {:>7} ms believed  {}", at(line), line.text());
     }
     for line in history.lines() {
         println!("  {:>7} ms request   {}", at(line), line.text());
     }
-    for line in &explanation.agents {
+    for line in &explanation.agent_lines {
         // Clocks of instances differ.
-        let at = line.wall() as i64 - history.lines()[0].wall() as i64;
+        let at = line.wall_ms() as i64 - history.lines()[0].wall_ms() as i64;
         println!(" ~{at:>7} ms {} {}", line.process(), line.text());
     }
     println!("  cause: {}", explanation.cause);
--- a/src/explanation/explainer.rs
+++ b/src/explanation/explainer.rs
@@ -29,9 +29,9 @@
     pub history: &'a RequestHistory,
     /// Lines of its entry about the replicas involved and of what else the
     /// entry took note of just before it and during it.
-    pub beliefs: Vec<&'a LogLine>,
+    pub entry_lines: Vec<&'a LogLine>,
     /// Lines of the replicas' agents from about that time.
-    pub agents: Vec<&'a LogLine>,
+    pub agent_lines: Vec<&'a LogLine>,
     /// Why it ended as it did.
     pub cause: Cause,
 }
@@ -52,7 +52,7 @@
     }
 
     /// Reads a line of the log of `process`.
-    pub fn read(&mut self, process: &Arc<str>, line: &str) {
+    pub fn read_line(&mut self, process: &Arc<str>, line: &str) {
         match LogLine::parse(process, line) {
             Ok(line) => {
                 self.read += 1;
@@ -68,7 +68,7 @@
     }
 
     /// Returns how many lines were none.
-    pub const fn lines_passed(&self) -> u64 {
+    pub const fn lines_skipped(&self) -> u64 {
         self.passed
     }
 
@@ -107,14 +107,14 @@
         let history = self.requests.get(id)?;
         Some(Explanation {
             history,
-            beliefs: self.beliefs(history),
-            agents: self.agents(history),
+            entry_lines: self.entry_lines(history),
+            agent_lines: self.agent_lines(history),
             cause: Cause::of(history),
         })
     }
 
     /// Returns the ids of the requests that were not answered.
-    pub fn failed(&self) -> Vec<&Arc<str>> {
+    pub fn failed_requests(&self) -> Vec<&Arc<str>> {
         let failed = self.requests.iter().filter(|(_, history)| {
             !matches!(history.outcome(), Outcome::Answered | Outcome::Open)
         });
@@ -133,15 +133,16 @@
 
     /// Returns what the request's entry noted about the replicas involved
     /// and about what it depends on.
-    fn beliefs(&self, history: &RequestHistory) -> Vec<&LogLine> {
+    fn entry_lines(&self, history: &RequestHistory) -> Vec<&LogLine> {
         let (first, last) = (&history.lines()[0], history.lines().last());
         let last = last.unwrap_or(first);
-        let from = first.ms().saturating_sub(CONTEXT_MS);
+        let from = first.uptime_ms().saturating_sub(CONTEXT_MS);
         let replicas = history.replicas();
         let of_life = |lines: &&Vec<LogLine>| {
             // Lives are told apart by the time of day of their start.
-            let start = lines.first().map_or(0, |l| l.wall() - l.ms());
-            (first.wall() - first.ms()).abs_diff(start) <= CONTEXT_MS
+            let start =
+                lines.first().map_or(0, |l| l.wall_ms() - l.uptime_ms());
+            (first.wall_ms() - first.uptime_ms()).abs_diff(start) <= CONTEXT_MS
         };
         let Some(process) = self.processes.get(first.process()) else {
             return Vec::new();
@@ -154,15 +155,15 @@
             let involved = named.is_none_or(|r| replicas.contains(r));
             involved
                 && !matches!(line.decision(), LoggedDecision::Other)
-                && (from..=last.ms()).contains(&line.ms())
+                && (from..=last.uptime_ms()).contains(&line.uptime_ms())
         });
         related.collect()
     }
 
     /// Returns what agents of the replicas involved logged about that time.
-    fn agents(&self, history: &RequestHistory) -> Vec<&LogLine> {
-        let first = history.lines()[0].wall();
-        let last = history.lines().last().map_or(first, LogLine::wall);
+    fn agent_lines(&self, history: &RequestHistory) -> Vec<&LogLine> {
+        let first = history.lines()[0].wall_ms();
+        let last = history.lines().last().map_or(first, LogLine::wall_ms);
         let from = first.saturating_sub(CONTEXT_MS);
         let addrs = self.addresses(history);
         let mut lines: Vec<&LogLine> = Vec::new();
@@ -174,10 +175,10 @@
             let all = all.chain(&process.beliefs);
             lines.extend(all.filter(|line| {
                 !matches!(line.decision(), LoggedDecision::Other)
-                    && (from..=last).contains(&line.wall())
+                    && (from..=last).contains(&line.wall_ms())
             }));
         }
-        lines.sort_by_key(|line| line.wall());
+        lines.sort_by_key(|line| line.wall_ms());
         lines
     }
 
--- a/src/explanation/log_line.rs
+++ b/src/explanation/log_line.rs
@@ -300,13 +300,13 @@
     }
 
     /// Returns the time of day at which it was written, in milliseconds.
-    pub const fn wall(&self) -> u64 {
+    pub const fn wall_ms(&self) -> u64 {
         self.fields.wall
     }
 
     /// Returns when it was written, in milliseconds since the process's
     /// start.
-    pub const fn ms(&self) -> u64 {
+    pub const fn uptime_ms(&self) -> u64 {
         self.fields.ms
     }
 
--- a/src/explanation/tests.rs
+++ b/src/explanation/tests.rs
@@ -8,7 +8,7 @@
     let mut explainer = Explainer::new();
     let process = Arc::from("front-1");
     for line in lines {
-        explainer.read(&process, line);
+        explainer.read_line(&process, line);
     }
     explainer
 }
@@ -164,10 +164,10 @@
     let explainer = read(&lines);
     let explanation = explainer.explain("r1").unwrap();
     let beliefs: Vec<&str> =
-        explanation.beliefs.iter().map(|line| line.text()).collect();
+        explanation.entry_lines.iter().map(|line| line.text()).collect();
     assert_eq!(beliefs, [START, &*known]);
     let agents: Vec<u64> =
-        explanation.agents.iter().map(|line| line.wall()).collect();
+        explanation.agent_lines.iter().map(|line| line.wall_ms()).collect();
     assert_eq!(agents, [900, 1_400]);
 }
 
@@ -175,7 +175,7 @@
 fn failed_requests_are_listed_and_counted() {
     let other = ended(503, 3002, "no room").replace("r1", "r2");
     let explainer = read(&[START, SENT, &ended(200, 0, ""), &other, "noise"]);
-    assert_eq!(explainer.failed(), [&Arc::from("r2")]);
+    assert_eq!(explainer.failed_requests(), [&Arc::from("r2")]);
     assert_eq!(explainer.summary().values().sum::<u64>(), 2);
-    assert_eq!((explainer.lines_read(), explainer.lines_passed()), (4, 1));
+    assert_eq!((explainer.lines_read(), explainer.lines_skipped()), (4, 1));
 }
