--- a/src/explanation.rs
+++ b/src/explanation.rs
@@ -1,14 +1,14 @@
-//! Why a request ended as it did, from the logs of processes alone.
+//! Derives why a request ended as it did from the logs of processes.
 //!
-//! Processes of direct serving log each decision as one JSON line. An
-//! [`Explainer`] reads such lines, in the order in which each process wrote
-//! them, and answers for one request: what happened, what the entry believed
-//! of the replicas involved, and the [`Cause`].
+//! In direct serving, each process logs every decision as one JSON line. An
+//! [`Explainer`] reads these lines in the order in which each process wrote
+//! them. For one request it returns what happened, what the entry knew of the
+//! replicas involved, and the [`Cause`].
 //!
-//! One request is served by one entry, whose lines are ordered by the `ms`
-//! that count from its start and never jump. Lines of agents are related to
-//! it by the time of day, which differs between instances; they are context,
-//! and decide no cause.
+//! A request is served by one entry, whose lines are ordered by `ms`, a
+//! monotonic clock that counts from the start of the process. Lines of agents
+//! are related to the request by wall-clock time. Since clocks of instances
+//! differ, these lines are context only and never determine the cause.
 
 mod cause;
 mod explainer;
--- a/src/explanation/cause.rs
+++ b/src/explanation/cause.rs
@@ -1,4 +1,4 @@
-//! The cause of a request's end, or of its being late.
+//! Why a request failed or was slow.
 
 use std::fmt;
 use std::sync::Arc;
@@ -8,147 +8,154 @@
 /// Why a request ended as it did.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Cause {
-    /// Nothing went wrong: the time is the replica's own.
-    Replica {
-        /// Since the request's head arrived, in milliseconds.
+    /// It was answered without a wait or a failed attempt; the time was spent
+    /// at the replica.
+    ReplicaTime {
+        /// The time since the request's head arrived, in milliseconds.
         took_ms: u64,
     },
-    /// It was answered after a wait for room.
-    WaitedForRoom {
-        /// How long it waited, in milliseconds.
+    /// It was answered after a wait for a replica with free capacity.
+    WaitedForCapacity {
+        /// How long the request waited, in milliseconds.
         waited_ms: u64,
-        /// Since the request's head arrived, in milliseconds.
+        /// The time since the request's head arrived, in milliseconds.
         took_ms: u64,
     },
     /// It was answered after failed attempts.
     FailedAttempts {
-        /// How long these took, in milliseconds.
+        /// How long the failed attempts took, in milliseconds.
         lost_ms: u64,
-        /// What the last of them brought.
+        /// Why the last of them failed.
         reason: Arc<str>,
-        /// Since the request's head arrived, in milliseconds.
+        /// The time since the request's head arrived, in milliseconds.
         took_ms: u64,
     },
-    /// No replica that is known could serve it, with room or without.
+    /// No known replica was suitable, whether full or not.
     NoSuitableReplica {
-        /// Replicas listed of the service.
+        /// Listed replicas of the service.
         listed: usize,
-        /// Those in a region where it may not be served.
+        /// Of these, replicas in a region that the route doesn't allow.
         barred: usize,
-        /// Those of the others in a hall that is evacuated.
+        /// Of the rest, replicas in an evacuated data hall.
         evacuated: usize,
-        /// Those of the others that are leaving.
+        /// Of the rest, replicas that are leaving.
         leaving: usize,
-        /// Those of the others whose `Retry-After` has not expired.
+        /// Of the rest, replicas whose `Retry-After` has not expired.
         resting: usize,
     },
-    /// All replicas that could serve it were full.
-    NoRoom {
-        /// Replicas that could take it if they had room.
+    /// All suitable replicas were full.
+    NoCapacity {
+        /// Replicas that could serve it if they had free capacity.
         suitable: usize,
-        /// Those of them that have set a rate limit.
+        /// Of these, replicas that have set a rate limit.
         limited: usize,
-        /// How long it waited, in milliseconds.
+        /// How long the request waited, in milliseconds.
         waited_ms: u64,
     },
-    /// An attempt failed, and no other was allowed or left time.
+    /// An attempt failed, and a retry was not allowed or there was no time for
+    /// one.
     AttemptFailed {
-        /// The replica.
+        /// The replica that failed.
         replica: Arc<str>,
-        /// What it brought.
+        /// Why the attempt failed.
         reason: Arc<str>,
     },
-    /// It is kept from replicas, since some ended under it.
+    /// It is quarantined, because replicas terminated while running it.
     Quarantined {
-        /// These replicas.
+        /// The replicas that terminated.
         replicas: Vec<Arc<str>>,
-        /// How long that had been known, in milliseconds.
+        /// How long the entry had known this, in milliseconds.
         age_ms: u64,
-        /// When it may be sent again, in milliseconds.
+        /// How long until it may be sent again, in milliseconds.
         back_ms: u64,
     },
-    /// It was refused before a replica was looked for.
-    Rule {
+    /// It was refused before a replica was selected.
+    Rejected {
         /// The numbered code.
         code: u16,
-        /// What is wrong with it.
+        /// Why it was refused.
         reason: Arc<str>,
-        /// How long ago all published routes were known, in milliseconds,
-        /// where the routes decided.
+        /// How long before, in milliseconds, the entry last knew all published
+        /// routes; present only if the routes led to the refusal.
         routes_age_ms: Option<u64>,
     },
-    /// Its caller left.
-    CallerLeft {
-        /// Whether a replica was at work on it.
+    /// Its caller disconnected.
+    CallerDisconnected {
+        /// Whether a replica was running it.
         sent: bool,
-        /// Since the request's head arrived, in milliseconds.
+        /// The time since the request's head arrived, in milliseconds.
         took_ms: u64,
     },
-    /// The entry ended first.
-    EntryEnded {
+    /// The entry terminated before the request ended.
+    EntryTerminated {
         /// Whether it had been sent to a replica.
         sent: bool,
     },
-    /// The log does not reach to its end.
+    /// The log ends before the request does.
     Unknown,
 }
 
 impl Cause {
-    /// Returns the cause that a request's lines show.
+    /// Determines the cause from the lines of a request.
     pub fn of(history: &RequestHistory) -> Cause {
-        let sent = find(history, |d| match d {
+        let sent = find_last(history, |d| match d {
             LoggedDecision::Sent { .. } => Some(()),
             _ => None,
         })
         .is_some();
         match history.outcome() {
             Outcome::Answered => answered(history),
-            Outcome::Refused | Outcome::BrokenOff => failed(history),
-            Outcome::CallerLeft => {
-                Cause::CallerLeft { sent, took_ms: took(history) }
-            }
-            Outcome::ProcessEnded => Cause::EntryEnded { sent },
-            Outcome::Open => Cause::Unknown,
+            Outcome::Refused | Outcome::Truncated => unanswered(history),
+            Outcome::CallerDisconnected => Cause::CallerDisconnected {
+                sent,
+                took_ms: duration_ms(history),
+            },
+            Outcome::ProcessTerminated => Cause::EntryTerminated { sent },
+            Outcome::Unfinished => Cause::Unknown,
         }
     }
 
-    /// Returns the kind of the cause: what requests with like causes share.
+    /// Returns a label by which requests with similar causes are counted.
     pub const fn kind(&self) -> &'static str {
         match self {
-            Cause::Replica { .. } => "replica's own time",
-            Cause::WaitedForRoom { .. } => "waited for room",
-            Cause::FailedAttempts { .. } => "attempts failed before",
+            Cause::ReplicaTime { .. } => "replica's own time",
+            Cause::WaitedForCapacity { .. } => "waited for capacity",
+            Cause::FailedAttempts { .. } => "earlier attempts failed",
             Cause::NoSuitableReplica { .. } => "no suitable replica",
-            Cause::NoRoom { .. } => "no room",
+            Cause::NoCapacity { .. } => "no capacity",
             Cause::AttemptFailed { .. } => "attempt failed",
-            Cause::Quarantined { .. } => "ends replicas",
-            Cause::Rule { .. } => "not allowed",
-            Cause::CallerLeft { sent: true, .. } => "left while served",
-            Cause::CallerLeft { sent: false, .. } => "left while waiting",
-            Cause::EntryEnded { .. } => "entry ended",
-            Cause::Unknown => "the log ends",
+            Cause::Quarantined { .. } => "quarantined",
+            Cause::Rejected { .. } => "rejected",
+            Cause::CallerDisconnected { sent: true, .. } => {
+                "disconnected while served"
+            }
+            Cause::CallerDisconnected { sent: false, .. } => {
+                "disconnected while waiting"
+            }
+            Cause::EntryTerminated { .. } => "entry terminated",
+            Cause::Unknown => "log ends",
         }
     }
 }
 
-fn find<T>(
+fn find_last<T>(
     history: &RequestHistory,
     pick: impl Fn(&LoggedDecision) -> Option<T>,
 ) -> Option<T> {
     history.lines().iter().map(LogLine::decision).rev().find_map(pick)
 }
 
-fn took(history: &RequestHistory) -> u64 {
-    let took = find(history, |d| match d {
+fn duration_ms(history: &RequestHistory) -> u64 {
+    let duration_ms = find_last(history, |d| match d {
         LoggedDecision::Ended { took_ms, .. }
         | LoggedDecision::Cancelled { took_ms, .. } => Some(*took_ms),
         _ => None,
     });
-    took.unwrap_or_default()
+    duration_ms.unwrap_or_default()
 }
 
 fn answered(history: &RequestHistory) -> Cause {
-    let took_ms = took(history);
+    let took_ms = duration_ms(history);
     let mut lost_ms = 0;
     let mut last = None;
     let mut waited = 0;
@@ -168,14 +175,14 @@
         return Cause::FailedAttempts { lost_ms, reason, took_ms };
     }
     if waited > 0 {
-        return Cause::WaitedForRoom { waited_ms: waited, took_ms };
+        return Cause::WaitedForCapacity { waited_ms: waited, took_ms };
     }
-    Cause::Replica { took_ms }
+    Cause::ReplicaTime { took_ms }
 }
 
-fn failed(history: &RequestHistory) -> Cause {
-    // The last of these is what the answer says.
-    let cause = find(history, |d| match d {
+fn unanswered(history: &RequestHistory) -> Cause {
+    // The last of these decisions is the reason that the answer gives.
+    let cause = find_last(history, |d| match d {
         LoggedDecision::NoReplica {
             listed,
             suitable: 0,
@@ -192,7 +199,7 @@
             resting: *resting,
         }),
         LoggedDecision::NoReplica { suitable, limited, waited_ms, .. } => {
-            Some(Cause::NoRoom {
+            Some(Cause::NoCapacity {
                 suitable: *suitable,
                 limited: *limited,
                 waited_ms: *waited_ms,
@@ -213,31 +220,31 @@
         }
         _ => None,
     });
-    cause.or_else(|| broken_off(history)).unwrap_or_else(|| rule(history))
+    cause.or_else(|| truncated(history)).unwrap_or_else(|| rejected(history))
 }
 
-/// Returns the cause of an answer that its replica did not bring to its end.
-fn broken_off(history: &RequestHistory) -> Option<Cause> {
-    let replica = find(history, |d| match d {
+/// Returns the cause if a replica's answer ended before it was complete.
+fn truncated(history: &RequestHistory) -> Option<Cause> {
+    let replica = find_last(history, |d| match d {
         LoggedDecision::Sent { replica, .. } => Some(Arc::clone(replica)),
         _ => None,
     })?;
-    Some(Cause::AttemptFailed { replica, reason: reason(history) })
+    Some(Cause::AttemptFailed { replica, reason: ended_reason(history) })
 }
 
-fn rule(history: &RequestHistory) -> Cause {
-    let ended = find(history, |d| match d {
+fn rejected(history: &RequestHistory) -> Cause {
+    let ended = find_last(history, |d| match d {
         LoggedDecision::Ended { code, routes_age_ms, .. } => {
             Some((*code, *routes_age_ms))
         }
         _ => None,
     });
     let (code, routes_age_ms) = ended.unwrap_or_default();
-    Cause::Rule { code, reason: reason(history), routes_age_ms }
+    Cause::Rejected { code, reason: ended_reason(history), routes_age_ms }
 }
 
-fn reason(history: &RequestHistory) -> Arc<str> {
-    let reason = find(history, |d| match d {
+fn ended_reason(history: &RequestHistory) -> Arc<str> {
+    let reason = find_last(history, |d| match d {
         LoggedDecision::Ended { reason, .. } => Some(Arc::clone(reason)),
         _ => None,
     });
@@ -247,15 +254,21 @@
 impl fmt::Display for Cause {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Cause::Replica { took_ms } => {
-                write!(f, "the replica took {took_ms} ms, nothing else did")
+            Cause::ReplicaTime { took_ms } => {
+                write!(f, "all of {took_ms} ms were spent at the replica")
             }
-            Cause::WaitedForRoom { waited_ms, took_ms } => {
-                write!(f, "{waited_ms} of {took_ms} ms went by until a ")?;
-                f.write_str("replica had room")
+            Cause::WaitedForCapacity { waited_ms, took_ms } => {
+                write!(
+                    f,
+                    "{waited_ms} of {took_ms} ms were spent waiting for "
+                )?;
+                f.write_str("a replica with free capacity")
             }
             Cause::FailedAttempts { lost_ms, reason, took_ms } => {
-                write!(f, "{lost_ms} of {took_ms} ms went by in attempts ")?;
+                write!(
+                    f,
+                    "{lost_ms} of {took_ms} ms were spent on attempts "
+                )?;
                 write!(f, "that failed, the last with: {reason}")
             }
             Cause::NoSuitableReplica {
@@ -276,15 +289,15 @@
                     write!(f, "; {leaving} are leaving")?;
                 }
                 if *resting > 0 {
-                    write!(f, "; {resting} asked for a pause")?;
+                    write!(f, "; {resting} sent a Retry-After")?;
                 }
                 Ok(())
             }
-            Cause::NoRoom { suitable, limited, waited_ms } => {
+            Cause::NoCapacity { suitable, limited, waited_ms } => {
                 write!(f, "all {suitable} replicas that could serve it ")?;
                 write!(f, "were full for {waited_ms} ms")?;
                 if *limited > 0 {
-                    write!(f, "; {limited} name a rate limit")?;
+                    write!(f, "; {limited} have a rate limit")?;
                 }
                 Ok(())
             }
@@ -293,27 +306,37 @@
             }
             Cause::Quarantined { replicas, age_ms, back_ms } => {
                 let replicas = replicas.join(", ");
-                write!(f, "replicas {replicas} ended under it, known for ")?;
-                write!(f, "{age_ms} ms; it is sent again in {back_ms} ms")
+                write!(
+                    f,
+                    "replicas {replicas} terminated running it, known for "
+                )?;
+                write!(f, "{age_ms} ms; it may be sent again in {back_ms} ms")
             }
-            Cause::Rule { code, reason, routes_age_ms } => {
-                write!(f, "refused by rule, code {code}: {reason}")?;
+            Cause::Rejected { code, reason, routes_age_ms } => {
+                write!(f, "rejected with code {code}: {reason}")?;
                 match routes_age_ms {
-                    Some(age) => write!(f, ", all known {age} ms before"),
+                    Some(age) => {
+                        write!(f, ", all routes last known {age} ms before")
+                    }
                     None => Ok(()),
                 }
             }
-            Cause::CallerLeft { sent, took_ms } => {
+            Cause::CallerDisconnected { sent, took_ms } => {
                 let at = if *sent { "served" } else { "waiting" };
-                write!(f, "the caller left after {took_ms} ms, while {at}")
+                write!(
+                    f,
+                    "the caller disconnected after {took_ms} ms, while {at}"
+                )
             }
-            Cause::EntryEnded { sent: true } => {
-                f.write_str("the entry ended while a replica was at work")
+            Cause::EntryTerminated { sent: true } => f.write_str(
+                "the entry terminated while a replica was running it",
+            ),
+            Cause::EntryTerminated { sent: false } => {
+                f.write_str("the entry terminated before it was sent")
             }
-            Cause::EntryEnded { sent: false } => {
-                f.write_str("the entry ended before it was sent")
+            Cause::Unknown => {
+                f.write_str("the log ends before the request does")
             }
-            Cause::Unknown => f.write_str("the log ends before the request"),
         }
     }
 }
--- a/src/explanation/explainer.rs
+++ b/src/explanation/explainer.rs
@@ -1,4 +1,4 @@
-//! Reading logs, and answering for one request.
+//! Reads logs and explains single requests.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -6,78 +6,81 @@
 
 use super::{Cause, LogLine, LoggedDecision, Outcome, RequestHistory};
 
-/// How long before a request changes of belief are still told of, in
-/// milliseconds.
+/// How long before a request its context lines may have been logged, in
+/// milliseconds. Also the tolerance, in the wall-clock time of a process's
+/// start, for lines of the same run of the process.
 const CONTEXT_MS: u64 = 3_000;
 
-/// What the logs of one process hold beside requests.
+/// The lines of one process that concern no request.
 #[derive(Debug, Default)]
 struct ProcessLog {
-    /// Since its newest start.
-    beliefs: Vec<LogLine>,
-    /// Of lives before that one.
-    earlier: Vec<Vec<LogLine>>,
+    /// Lines since the newest start.
+    current_run: Vec<LogLine>,
+    /// Lines of the runs before it, oldest first.
+    earlier_runs: Vec<Vec<LogLine>>,
+    /// The engine's address, if the process is an agent.
     engine: Option<SocketAddr>,
-    /// Requests without an end in this life.
-    open: Vec<Arc<str>>,
+    /// Requests with lines in the current run, one item for each line.
+    current_requests: Vec<Arc<str>>,
 }
 
-/// What is known of one request.
+/// What the logs show about one request.
 #[derive(Debug)]
 pub struct Explanation<'a> {
-    /// Its own lines.
+    /// The request's own lines.
     pub history: &'a RequestHistory,
-    /// Lines of its entry about the replicas involved and of what else the
-    /// entry took note of just before it and during it.
+    /// Lines that its entry logged shortly before and during the request,
+    /// about the replicas involved and about dependencies.
     pub entry_lines: Vec<&'a LogLine>,
-    /// Lines of the replicas' agents from about that time.
+    /// Lines of the replicas' agents from about the same time.
     pub agent_lines: Vec<&'a LogLine>,
-    /// Why it ended as it did.
+    /// Why the request ended as it did.
     pub cause: Cause,
 }
 
-/// Reads logs.
+/// Reads log lines and explains requests.
 #[derive(Debug, Default)]
 pub struct Explainer {
     requests: BTreeMap<Arc<str>, RequestHistory>,
     processes: HashMap<Arc<str>, ProcessLog>,
-    read: u64,
-    passed: u64,
+    lines_read: u64,
+    lines_skipped: u64,
 }
 
 impl Explainer {
-    /// Returns one that has read nothing.
+    /// Returns an explainer that has read no lines.
     pub fn new() -> Explainer {
         Explainer::default()
     }
 
-    /// Reads a line of the log of `process`.
+    /// Reads a line of the log of `process`; lines without a decision are only
+    /// counted.
     pub fn read_line(&mut self, process: &Arc<str>, line: &str) {
         match LogLine::parse(process, line) {
             Ok(line) => {
-                self.read += 1;
-                self.take(line);
+                self.lines_read += 1;
+                self.record(line);
             }
-            Err(_) => self.passed += 1,
+            Err(_) => self.lines_skipped += 1,
         }
     }
 
-    /// Returns how many lines were decisions.
+    /// Returns how many of the lines were decisions.
     pub const fn lines_read(&self) -> u64 {
-        self.read
+        self.lines_read
     }
 
-    /// Returns how many lines were none.
+    /// Returns how many of the lines were not decisions.
     pub const fn lines_skipped(&self) -> u64 {
-        self.passed
+        self.lines_skipped
     }
 
-    fn take(&mut self, line: LogLine) {
+    fn record(&mut self, line: LogLine) {
         let process =
             self.processes.entry(Arc::clone(line.process())).or_default();
         if let Some(id) = line.decision().request() {
             let id = Arc::clone(id);
-            process.open.push(Arc::clone(&id));
+            process.current_requests.push(Arc::clone(&id));
             match self.requests.get_mut(&id) {
                 Some(history) => history.push(line),
                 None => {
@@ -88,21 +91,21 @@
         }
         if let LoggedDecision::Start { engine, .. } = line.decision() {
             process.engine = *engine;
-            let before = std::mem::take(&mut process.beliefs);
-            process.earlier.push(before);
-            for id in process.open.drain(..) {
+            let previous_run = std::mem::take(&mut process.current_run);
+            process.earlier_runs.push(previous_run);
+            for id in process.current_requests.drain(..) {
                 let Some(history) = self.requests.get_mut(&id) else {
                     continue;
                 };
-                if history.outcome() == Outcome::Open {
-                    history.set_cut();
+                if history.outcome() == Outcome::Unfinished {
+                    history.set_process_restarted();
                 }
             }
         }
-        process.beliefs.push(line);
+        process.current_run.push(line);
     }
 
-    /// Returns what is known of a request.
+    /// Returns what the logs show about a request, if any line names it.
     pub fn explain(&self, id: &str) -> Option<Explanation<'_>> {
         let history = self.requests.get(id)?;
         Some(Explanation {
@@ -113,15 +116,18 @@
         })
     }
 
-    /// Returns the ids of the requests that were not answered.
+    /// Returns the ids of the requests that ended without a complete answer.
     pub fn failed_requests(&self) -> Vec<&Arc<str>> {
         let failed = self.requests.iter().filter(|(_, history)| {
-            !matches!(history.outcome(), Outcome::Answered | Outcome::Open)
+            !matches!(
+                history.outcome(),
+                Outcome::Answered | Outcome::Unfinished
+            )
         });
         failed.map(|(id, _)| id).collect()
     }
 
-    /// Returns how many requests ended how, and by which kind of cause.
+    /// Returns the number of requests by outcome and kind of cause.
     pub fn summary(&self) -> BTreeMap<(Outcome, &'static str), u64> {
         let mut counts = BTreeMap::new();
         for history in self.requests.values() {
@@ -131,15 +137,15 @@
         counts
     }
 
-    /// Returns what the request's entry noted about the replicas involved
-    /// and about what it depends on.
+    /// Returns what the request's entry logged about the replicas involved
+    /// and about its dependencies.
     fn entry_lines(&self, history: &RequestHistory) -> Vec<&LogLine> {
         let (first, last) = (&history.lines()[0], history.lines().last());
         let last = last.unwrap_or(first);
         let from = first.uptime_ms().saturating_sub(CONTEXT_MS);
         let replicas = history.replicas();
-        let of_life = |lines: &&Vec<LogLine>| {
-            // Lives are told apart by the time of day of their start.
+        let is_same_run = |lines: &&Vec<LogLine>| {
+            // A run is identified by the wall-clock time of its start.
             let start =
                 lines.first().map_or(0, |l| l.wall_ms() - l.uptime_ms());
             (first.wall_ms() - first.uptime_ms()).abs_diff(start) <= CONTEXT_MS
@@ -147,12 +153,12 @@
         let Some(process) = self.processes.get(first.process()) else {
             return Vec::new();
         };
-        let mut lives = std::iter::once(&process.beliefs)
-            .chain(process.earlier.iter().rev());
-        let Some(life) = lives.find(of_life) else { return Vec::new() };
-        let related = life.iter().filter(|line| {
-            let named = line.decision().replica();
-            let involved = named.is_none_or(|r| replicas.contains(r));
+        let mut runs = std::iter::once(&process.current_run)
+            .chain(process.earlier_runs.iter().rev());
+        let Some(run) = runs.find(is_same_run) else { return Vec::new() };
+        let related = run.iter().filter(|line| {
+            let replica = line.decision().replica();
+            let involved = replica.is_none_or(|r| replicas.contains(r));
             involved
                 && !matches!(line.decision(), LoggedDecision::Other)
                 && (from..=last.uptime_ms()).contains(&line.uptime_ms())
@@ -160,19 +166,20 @@
         related.collect()
     }
 
-    /// Returns what agents of the replicas involved logged about that time.
+    /// Returns what the agents of the replicas involved logged at about the
+    /// time of the request.
     fn agent_lines(&self, history: &RequestHistory) -> Vec<&LogLine> {
         let first = history.lines()[0].wall_ms();
         let last = history.lines().last().map_or(first, LogLine::wall_ms);
         let from = first.saturating_sub(CONTEXT_MS);
-        let addrs = self.addresses(history);
+        let addrs = self.replica_addresses(history);
         let mut lines: Vec<&LogLine> = Vec::new();
         for process in self.processes.values() {
             if !process.engine.is_some_and(|e| addrs.contains(&e)) {
                 continue;
             }
-            let all = process.earlier.iter().flatten();
-            let all = all.chain(&process.beliefs);
+            let all = process.earlier_runs.iter().flatten();
+            let all = all.chain(&process.current_run);
             lines.extend(all.filter(|line| {
                 !matches!(line.decision(), LoggedDecision::Other)
                     && (from..=last).contains(&line.wall_ms())
@@ -182,14 +189,14 @@
         lines
     }
 
-    /// Returns the addresses of the replicas involved, as far as the entry
-    /// has logged them.
-    fn addresses(&self, history: &RequestHistory) -> Vec<SocketAddr> {
+    /// Returns the addresses of the replicas involved, as logged by the
+    /// entry.
+    fn replica_addresses(&self, history: &RequestHistory) -> Vec<SocketAddr> {
         let replicas = history.replicas();
         let process = self.processes.get(history.lines()[0].process());
-        let known = process
-            .into_iter()
-            .flat_map(|p| p.beliefs.iter().chain(p.earlier.iter().flatten()));
+        let known = process.into_iter().flat_map(|p| {
+            p.current_run.iter().chain(p.earlier_runs.iter().flatten())
+        });
         let mut addrs = Vec::new();
         for line in known {
             let LoggedDecision::ReplicaListed { replica, addr, .. } =
--- a/src/explanation/log_line.rs
+++ b/src/explanation/log_line.rs
@@ -1,4 +1,4 @@
-//! One line of a process's log of decisions, as far as it explains requests.
+//! Parsing of a line of a process's decision log.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,74 +7,74 @@
 
 use crate::{Code, Error};
 
-/// A logged decision; fields that explain nothing are left out.
+/// A logged decision, with the fields that help to explain requests.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum LoggedDecision {
     /// The process started.
     Start {
-        /// Its role.
+        /// The process's role.
         role: Arc<str>,
-        /// Its instance.
+        /// The name of its instance.
         instance: Arc<str>,
-        /// The engine that it serves, of an agent.
+        /// The address of its engine, if the process is an agent.
         #[serde(default)]
         engine: Option<SocketAddr>,
     },
-    /// The process was told to stop.
+    /// The process was asked to stop.
     Stop {
-        /// How long it may take, in milliseconds.
+        /// How long the shutdown may take, in milliseconds.
         grace_ms: u64,
     },
     /// A dependency stopped answering.
     DependencyLost {
-        /// Its name.
+        /// The name of the dependency.
         dependency: Arc<str>,
-        /// What the call brought.
+        /// Why the call to it failed.
         reason: Arc<str>,
     },
-    /// A dependency answers again.
+    /// A dependency started to answer again.
     DependencyRegained {
-        /// Its name.
+        /// The name of the dependency.
         dependency: Arc<str>,
-        /// How long it did not answer, in milliseconds.
+        /// How long it had not answered, in milliseconds.
         lost_ms: u64,
     },
-    /// Newer routes are in force.
+    /// Newer routes came into force.
     RoutesTaken {
-        /// Their revision.
+        /// The revision of the routes.
         revision: u64,
     },
-    /// A newer version of a model is wanted.
+    /// A newer target version of a model was received.
     TargetTaken {
         /// The model.
         model: Arc<str>,
         /// The version.
         version: u64,
     },
-    /// A replica came to the list, or its entry changed.
+    /// A replica was added to the list of replicas, or its entry changed.
     ReplicaListed {
-        /// Its incarnation.
+        /// The replica's incarnation.
         replica: Arc<str>,
-        /// Its address.
+        /// The replica's address.
         addr: SocketAddr,
         /// Whether it is leaving.
         draining: bool,
     },
-    /// A replica went from the list.
+    /// A replica was removed from the list of replicas.
     ReplicaUnlisted {
-        /// Its incarnation.
+        /// The replica's incarnation.
         replica: Arc<str>,
-        /// Whether the platform was well enough to believe it.
+        /// Whether the platform was healthy enough for its list to be trusted.
         reliable: bool,
     },
-    /// A replica is left out for a while after failures.
+    /// A replica is excluded from selection for a time after failures.
     ReplicaSuspect {
-        /// Its incarnation.
+        /// The replica's incarnation.
         replica: Arc<str>,
-        /// Failures in a row.
+        /// The number of consecutive failures.
         failures: u32,
-        /// For how long, in milliseconds.
+        /// How long it is excluded, in milliseconds.
         for_ms: u64,
     },
     /// A request was sent to a replica.
@@ -83,149 +83,150 @@
         request: Arc<str>,
         /// The replica's incarnation.
         replica: Arc<str>,
-        /// Counted from 1.
+        /// The number of the attempt, from 1.
         attempt: u32,
-        /// Requests known at the replica.
+        /// The requests at the replica that the entry knew of.
         load: u32,
         /// The age of the replica's report, in milliseconds.
         report_age_ms: Option<u64>,
-        /// The version asked for, if any.
+        /// The requested version, if any.
         version: Option<u64>,
-        /// How long the request waited, in milliseconds.
+        /// How long the request had waited, in milliseconds.
         waited_ms: u64,
     },
-    /// A request found no replica.
+    /// No replica was selected for a request.
     NoReplica {
         /// The request's id.
         request: Arc<str>,
         /// The service.
         service: Arc<str>,
-        /// Replicas listed of it.
+        /// Listed replicas of the service.
         listed: usize,
-        /// Those that could take it if they had room.
+        /// Of these, replicas that could serve it if they had free capacity.
         suitable: usize,
-        /// Those in a region where it may not be served.
+        /// Listed replicas in a region that the route doesn't allow.
         #[serde(default)]
         barred: usize,
-        /// Those of the others in a hall that is evacuated.
+        /// Of the rest, replicas in an evacuated data hall.
         #[serde(default)]
         evacuated: usize,
-        /// Those of the others that are leaving.
+        /// Of the rest, replicas that are leaving.
         #[serde(default)]
         leaving: usize,
-        /// Those of the others whose `Retry-After` has not expired.
+        /// Of the rest, replicas whose `Retry-After` has not expired.
         #[serde(default)]
         resting: usize,
         /// Suitable replicas that have set a rate limit.
         #[serde(default)]
         limited: usize,
-        /// How long it waited, in milliseconds.
+        /// How long the request had waited, in milliseconds.
         waited_ms: u64,
     },
-    /// An attempt did not bring the whole answer.
+    /// An attempt failed before the answer was complete.
     AttemptFailed {
         /// The request's id.
         request: Arc<str>,
         /// The replica's incarnation.
         replica: Arc<str>,
-        /// What came back.
+        /// Why it failed.
         reason: Arc<str>,
-        /// How long after it was sent, in milliseconds.
+        /// The time from sending the request to the failure, in milliseconds.
         after_ms: u64,
-        /// What follows.
+        /// What the entry does next.
         next: Arc<str>,
     },
-    /// A replica ended under a request.
+    /// A replica terminated while running a request.
     PoisonSuspected {
         /// The request's id.
         request: Arc<str>,
         /// The replica's incarnation.
         replica: Arc<str>,
-        /// Replicas that ended under it, one after the other.
+        /// How many replicas have terminated while running it, one after
+        /// another.
         ended: u8,
     },
-    /// A request was refused, since it ends the replicas that it runs on.
+    /// A request was refused, because it terminates the replicas that run it.
     PoisonRefused {
         /// The request's id.
         request: Arc<str>,
-        /// The replicas that ended under it.
+        /// The replicas that terminated while running it.
         replicas: Vec<Arc<str>>,
-        /// How long that had been known, in milliseconds.
+        /// How long the entry had known this, in milliseconds.
         age_ms: u64,
-        /// When it may be sent again, in milliseconds.
+        /// How long until it may be sent again, in milliseconds.
         back_ms: u64,
     },
-    /// A request that was kept from replicas was tried again.
+    /// A quarantined request was tried again.
     PoisonTried {
         /// The request's id.
         request: Arc<str>,
     },
-    /// A request under which replicas ended had its whole answer.
+    /// A request that had terminated replicas was answered completely.
     PoisonCleared {
         /// The request's id.
         request: Arc<str>,
     },
-    /// A stream was taken up at another replica.
+    /// A stream was resumed at another replica.
     Resumed {
         /// The request's id.
         request: Arc<str>,
-        /// The replica that goes on.
+        /// The replica that continues the stream.
         replica: Arc<str>,
-        /// The last event that the caller has.
+        /// The last event that the caller received, if any.
         after_event: Option<u64>,
     },
-    /// A request got its final answer.
+    /// The final answer to a request was sent.
     Ended {
         /// The request's id.
         request: Arc<str>,
         /// The HTTP status.
         status: u16,
-        /// The numbered code, 0 for a replica's own answer.
+        /// The numbered code, or 0 for the complete answer of a replica.
         code: u16,
-        /// Why, where the answer is the system's own.
+        /// Why the request failed; empty if `code` is 0.
         reason: Arc<str>,
-        /// Since the request's head arrived, in milliseconds.
+        /// The time since the request's head arrived, in milliseconds.
         took_ms: u64,
-        /// How long ago all published routes were known, in milliseconds,
-        /// where the routes decided.
+        /// How long before, in milliseconds, the entry last knew all published
+        /// routes; present only if the routes led to the refusal.
         #[serde(default)]
         routes_age_ms: Option<u64>,
     },
-    /// The caller went before the end.
+    /// The caller disconnected before the answer was complete.
     Cancelled {
         /// The request's id.
         request: Arc<str>,
-        /// Since the request's head arrived, in milliseconds.
+        /// The time since the request's head arrived, in milliseconds.
         took_ms: u64,
     },
-    /// The engine was ordered to load.
+    /// The engine was ordered to load a version.
     LoadOrdered {
         /// The model.
         model: Arc<str>,
         /// The version.
         version: u64,
-        /// What the engine said.
+        /// The engine's response.
         outcome: Arc<str>,
     },
-    /// The engine serves a version.
+    /// The engine started to serve a version.
     Serving {
         /// The model.
         model: Arc<str>,
         /// The version.
         version: u64,
     },
-    /// Lines that did not fit into the buffer.
+    /// Log lines were dropped because the log buffer was full.
     Dropped {
-        /// How many.
+        /// The number of dropped lines.
         lines: u64,
     },
-    /// A decision that explains no request.
+    /// A decision that does not help to explain a request.
     #[serde(other)]
     Other,
 }
 
 impl LoggedDecision {
-    /// Returns the id of the request that it touches, if any.
+    /// Returns the id of the request that the decision concerns, if any.
     pub fn request(&self) -> Option<&Arc<str>> {
         match self {
             LoggedDecision::Sent { request, .. }
@@ -242,7 +243,7 @@
         }
     }
 
-    /// Returns the replica that it names, if any.
+    /// Returns the replica that the decision names, if any.
     pub fn replica(&self) -> Option<&Arc<str>> {
         match self {
             LoggedDecision::Sent { replica, .. }
@@ -257,7 +258,7 @@
     }
 }
 
-/// A line of a log.
+/// A line of a decision log.
 #[derive(Clone, Debug)]
 pub struct LogLine {
     process: Arc<str>,
@@ -267,55 +268,57 @@
 
 #[derive(Clone, Debug, Deserialize)]
 struct Fields {
-    /// The time of day, in milliseconds; it may jump.
+    /// The wall-clock time in milliseconds; it may jump.
     wall: u64,
-    /// Since the process's start, in milliseconds.
+    /// The time since the start of the process, in milliseconds.
     ms: u64,
     #[serde(flatten)]
     decision: LoggedDecision,
 }
 
 impl LogLine {
-    /// Reads a line of a process's log. What stands before the JSON object
-    /// is passed over; its last word names the process, if there is one.
+    /// Parses a line of a process's log.
+    ///
+    /// Text before the JSON object is a prefix whose last word is the name of
+    /// the process; without a prefix, `process` is the name.
     ///
     /// # Errors
     ///
-    /// [`Code::MalformedJson`] if it is no decision.
+    /// [`Code::MalformedJson`] if the line is not a decision.
     pub fn parse(process: &Arc<str>, line: &str) -> Result<LogLine, Error> {
         let begin = line.find('{').unwrap_or(line.len());
-        let (before, json) = line.split_at(begin);
+        let (prefix, json) = line.split_at(begin);
         let fields = serde_json::from_str(json)
             .map_err(|e| Error::new(Code::MalformedJson, e))?;
-        let process = match before.split_whitespace().next_back() {
+        let process = match prefix.split_whitespace().next_back() {
             Some(name) => Arc::from(name),
             None => Arc::clone(process),
         };
         Ok(LogLine { process, fields, text: Arc::from(json) })
     }
 
-    /// Returns the process that wrote it.
+    /// Returns the name of the process that wrote the line.
     pub const fn process(&self) -> &Arc<str> {
         &self.process
     }
 
-    /// Returns the time of day at which it was written, in milliseconds.
+    /// Returns the wall-clock time of the line, in milliseconds; it may jump.
     pub const fn wall_ms(&self) -> u64 {
         self.fields.wall
     }
 
-    /// Returns when it was written, in milliseconds since the process's
-    /// start.
+    /// Returns the time from the start of the process to the line, in
+    /// milliseconds.
     pub const fn uptime_ms(&self) -> u64 {
         self.fields.ms
     }
 
-    /// Returns what was decided.
+    /// Returns the decision.
     pub const fn decision(&self) -> &LoggedDecision {
         &self.fields.decision
     }
 
-    /// Returns the JSON object as it was written.
+    /// Returns the JSON text of the line, without its prefix.
     pub fn text(&self) -> &str {
         &self.text
     }
--- a/src/explanation/tests.rs
+++ b/src/explanation/tests.rs
@@ -1,10 +1,10 @@
-//! Causes from lines as processes write them.
+//! Tests that derive causes from log lines in the form that processes write.
 
 use std::sync::Arc;
 
 use super::{Cause, Explainer, Outcome};
 
-fn read(lines: &[&str]) -> Explainer {
+fn read_lines(lines: &[&str]) -> Explainer {
     let mut explainer = Explainer::new();
     let process = Arc::from("front-1");
     for line in lines {
@@ -35,17 +35,20 @@
 }
 
 fn cause(lines: &[&str]) -> (Outcome, Cause) {
-    let explainer = read(lines);
+    let explainer = read_lines(lines);
     let explanation = explainer.explain("r1").unwrap();
     (explanation.history.outcome(), explanation.cause)
 }
 
 #[test]
-fn a_late_answer_tells_where_its_time_went() {
+fn a_slow_answer_is_explained_by_where_its_time_went() {
     let answered = ended(200, 0, "");
     let (outcome, found) = cause(&[START, SENT, &answered]);
     assert_eq!(outcome, Outcome::Answered);
-    assert_eq!(found, Cause::WaitedForRoom { waited_ms: 40, took_ms: 860 });
+    assert_eq!(
+        found,
+        Cause::WaitedForCapacity { waited_ms: 40, took_ms: 860 }
+    );
     let lost = failed("no answer in 400 ms");
     let (_, found) = cause(&[START, SENT, &lost, &answered]);
     let reason = Arc::from("no answer in 400 ms");
@@ -55,7 +58,7 @@
 }
 
 #[test]
-fn a_refusal_tells_whether_replicas_were_full_or_none_fits() {
+fn a_refusal_distinguishes_full_from_unsuitable_replicas() {
     let refused = ended(503, 3002, "no replica had room in time");
     let no_replica = |suitable: usize| {
         format!(
@@ -66,17 +69,17 @@
     };
     let (outcome, found) = cause(&[START, &no_replica(4), &refused]);
     assert_eq!(outcome, Outcome::Refused);
-    let no_room =
-        |limited| Cause::NoRoom { suitable: 4, limited, waited_ms: 80 };
-    assert_eq!(found, no_room(0));
+    let no_capacity =
+        |limited| Cause::NoCapacity { suitable: 4, limited, waited_ms: 80 };
+    assert_eq!(found, no_capacity(0));
     let limited =
         no_replica(4).replace("\"waited_ms\"", "\"limited\":3,\"waited_ms\"");
     let (_, found) = cause(&[START, &limited, &refused]);
-    assert_eq!(found, no_room(3));
+    assert_eq!(found, no_capacity(3));
     let text = found.to_string();
-    assert!(text.contains("3 name a rate limit"), "{text}");
+    assert!(text.contains("3 have a rate limit"), "{text}");
     let (_, found) = cause(&[START, &no_replica(0), &refused]);
-    let none =
+    let unsuitable =
         |barred, evacuated, leaving, resting| Cause::NoSuitableReplica {
             listed: 9,
             barred,
@@ -84,68 +87,70 @@
             leaving,
             resting,
         };
-    assert_eq!(found, none(0, 0, 0, 0));
-    let bound = no_replica(0).replace(
+    assert_eq!(found, unsuitable(0, 0, 0, 0));
+    let with_reasons = no_replica(0).replace(
         "\"waited_ms\"",
         "\"barred\":6,\"evacuated\":3,\"leaving\":2,\"resting\":1,\
          \"waited_ms\"",
     );
-    let (_, found) = cause(&[START, &bound, &refused]);
-    assert_eq!(found, none(6, 3, 2, 1));
-    let told = found.to_string();
-    assert!(told.contains("6 are in other regions"), "{told}");
-    assert!(told.contains("3 are in evacuated halls"), "{told}");
-    assert!(told.contains("2 are leaving"), "{told}");
-    assert!(told.contains("1 asked for a pause"), "{told}");
+    let (_, found) = cause(&[START, &with_reasons, &refused]);
+    assert_eq!(found, unsuitable(6, 3, 2, 1));
+    let message = found.to_string();
+    assert!(message.contains("6 are in other regions"), "{message}");
+    assert!(message.contains("3 are in evacuated halls"), "{message}");
+    assert!(message.contains("2 are leaving"), "{message}");
+    assert!(message.contains("1 sent a Retry-After"), "{message}");
     let (_, found) = cause(&[START, &ended(401, 2012, "unknown key")]);
     let reason = Arc::from("unknown key");
     let routes_age_ms = None;
-    assert_eq!(found, Cause::Rule { code: 2012, reason, routes_age_ms });
+    assert_eq!(found, Cause::Rejected { code: 2012, reason, routes_age_ms });
 }
 
 #[test]
-fn a_refusal_by_routes_tells_how_old_they_may_be() {
+fn a_refusal_by_routes_includes_their_age() {
     let refused = r#"{"wall":1900,"ms":900,"event":"ended","request":"r1",
         "status":404,"code":1012,"reason":"revision 35","took_ms":0,
         "routes_age_ms":2400}"#;
     let (outcome, found) = cause(&[START, refused]);
     assert_eq!(outcome, Outcome::Refused);
-    assert!(found.to_string().ends_with("all known 2400 ms before"));
+    assert!(
+        found.to_string().ends_with("all routes last known 2400 ms before")
+    );
 }
 
 #[test]
-fn a_request_that_ends_replicas_is_refused_for_these() {
-    let held = r#"{"wall":1900,"ms":900,"event":"poison_refused",
+fn a_quarantined_request_names_the_replicas_that_it_terminated() {
+    let quarantined = r#"{"wall":1900,"ms":900,"event":"poison_refused",
         "request":"r1","fingerprint":"00","replicas":["i-a","i-b"],
         "age_ms":700,"back_ms":599300}"#;
     let refused = ended(503, 3020, "this same request ended the replicas");
-    let (outcome, found) = cause(&[START, held, &refused]);
+    let (outcome, found) = cause(&[START, quarantined, &refused]);
     assert_eq!(outcome, Outcome::Refused);
-    assert_eq!(found.kind(), "ends replicas");
-    assert!(found.to_string().contains("i-a, i-b ended under it"));
+    assert_eq!(found.kind(), "quarantined");
+    assert!(found.to_string().contains("i-a, i-b terminated running it"));
 }
 
 #[test]
-fn an_answer_that_breaks_off_names_its_replica() {
-    let broken = ended(200, 3011, "no event for 1200 ms");
-    let (outcome, found) = cause(&[START, SENT, &broken]);
-    assert_eq!(outcome, Outcome::BrokenOff);
+fn a_truncated_answer_names_its_replica() {
+    let truncated = ended(200, 3011, "no event for 1200 ms");
+    let (outcome, found) = cause(&[START, SENT, &truncated]);
+    assert_eq!(outcome, Outcome::Truncated);
     let (replica, reason) =
         (Arc::from("i-a"), Arc::from("no event for 1200 ms"));
     assert_eq!(found, Cause::AttemptFailed { replica, reason });
 }
 
 #[test]
-fn a_process_that_started_again_ended_what_was_open() {
+fn a_restart_ends_the_unfinished_requests_of_the_process() {
     let (outcome, found) = cause(&[START, SENT, START]);
-    assert_eq!(outcome, Outcome::ProcessEnded);
-    assert_eq!(found, Cause::EntryEnded { sent: true });
+    assert_eq!(outcome, Outcome::ProcessTerminated);
+    assert_eq!(found, Cause::EntryTerminated { sent: true });
     let (outcome, found) = cause(&[START, SENT]);
-    assert_eq!((outcome, found), (Outcome::Open, Cause::Unknown));
+    assert_eq!((outcome, found), (Outcome::Unfinished, Cause::Unknown));
 }
 
 #[test]
-fn beliefs_and_agents_of_the_replicas_involved_stand_beside_it() {
+fn context_lines_concern_the_replicas_involved() {
     let listed = |replica: &str, port: u16| {
         format!(
             r#"{{"wall":1050,"ms":50,"event":"replica_listed",
@@ -161,20 +166,21 @@
     let (known, other) = (listed("i-a", 81), listed("i-b", 82));
     let lost = failed("loading");
     let lines = [START, agent, &known, &other, SENT, order, &lost];
-    let explainer = read(&lines);
+    let explainer = read_lines(&lines);
     let explanation = explainer.explain("r1").unwrap();
-    let beliefs: Vec<&str> =
+    let entry_lines: Vec<&str> =
         explanation.entry_lines.iter().map(|line| line.text()).collect();
-    assert_eq!(beliefs, [START, &*known]);
-    let agents: Vec<u64> =
+    assert_eq!(entry_lines, [START, &*known]);
+    let agent_times: Vec<u64> =
         explanation.agent_lines.iter().map(|line| line.wall_ms()).collect();
-    assert_eq!(agents, [900, 1_400]);
+    assert_eq!(agent_times, [900, 1_400]);
 }
 
 #[test]
 fn failed_requests_are_listed_and_counted() {
     let other = ended(503, 3002, "no room").replace("r1", "r2");
-    let explainer = read(&[START, SENT, &ended(200, 0, ""), &other, "noise"]);
+    let explainer =
+        read_lines(&[START, SENT, &ended(200, 0, ""), &other, "noise"]);
     assert_eq!(explainer.failed_requests(), [&Arc::from("r2")]);
     assert_eq!(explainer.summary().values().sum::<u64>(), 2);
     assert_eq!((explainer.lines_read(), explainer.lines_skipped()), (4, 1));
