--- a/src/code.rs
+++ b/src/code.rs
@@ -136,22 +136,25 @@
         "Copy the digest that the packing tool prints.";
     Overloaded = 3001, 503, DID_NOT_RUN,
         "The entry holds the maximum number of requests.",
-        "Retry after `Retry-After`.";
+        "Retry after the time given in `Retry-After`.";
     NoBackend = 3002, 503, DID_NOT_RUN,
         "No backend server can accept the request now.",
-        "Retry after `Retry-After`; see `stairhinge status`.";
+        "Retry after the time given in `Retry-After`; \
+         see `stairhinge status`.";
     DeadlinePassed = 3003, 504, DID_NOT_RUN,
         "The request's deadline passed before it could start.",
-        "Retry after `Retry-After`, or allow more time.";
+        "Retry after the time given in `Retry-After`, or allow more time.";
     Leaving = 3004, 503, DID_NOT_RUN,
         "The process is draining and accepts no new work.",
         "Send the request to another instance.";
     GuardUnreachable = 3005, 503, DID_NOT_RUN,
         "The backend server that guards this key is unreachable.",
-        "Retry after `Retry-After`; the key is not claimed until then.";
+        "Retry after the time given in `Retry-After`; \
+         the key is not claimed until then.";
     GuardForgetful = 3006, 503, DID_NOT_RUN,
         "The guard of this key has restarted and may have lost its record.",
-        "Retry after `Retry-After`, when the key window has passed.";
+        "Retry after the time given in `Retry-After`, \
+         when the key window has passed.";
     DuplicateRunning = 3007, 409, MAY_HAVE_RUN,
         "A request with this key was accepted; it is running or may have run.",
         "Wait for the answer to the first request.";
@@ -178,16 +181,16 @@
         "None: the one behind fetches the newer revision and retries.";
     GuardFull = 3015, 503, DID_NOT_RUN,
         "The guard holds the maximum number of keys.",
-        "Retry after `Retry-After`, or raise `guard_keys`.";
+        "Retry after the time given in `Retry-After`, or raise `guard_keys`.";
     NotServing = 3016, 503, DID_NOT_RUN,
         "The backend server does not serve this model now.",
         "None: the entry tries another backend server.";
     RetrySpent = 3017, 503, DID_NOT_RUN,
         "The retry budget is exhausted.",
-        "Retry after `Retry-After`.";
+        "Retry after the time given in `Retry-After`.";
     NoRoutes = 3018, 503, DID_NOT_RUN,
         "The entry knows no published routes yet.",
-        "Retry after `Retry-After`.";
+        "Retry after the time given in `Retry-After`.";
     TimedOut = 3019, 504, MAY_HAVE_RUN,
         "The request timed out before its answer was complete.",
         "Repeat the request only if it is repeatable, or allow more time.";
@@ -196,7 +199,8 @@
         "Fix the request; it is tried again after `Retry-After`.";
     NoRegion = 3021, 503, DID_NOT_RUN,
         "No backend server in an allowed region can accept the request now.",
-        "Retry after `Retry-After`, or allow the route more regions.";
+        "Retry after the time given in `Retry-After`, \
+         or allow the route more regions.";
     CorruptChunk = 4001, 502, None,
         "A chunk's bytes do not have the declared digest.",
         "None: it is fetched elsewhere; check the source that sent it.";
--- a/src/explanation/history.rs
+++ b/src/explanation/history.rs
@@ -39,7 +39,7 @@
             Outcome::Truncated => "truncated",
             Outcome::CallerDisconnected => "caller disconnected",
             Outcome::ProcessTerminated => "process terminated",
-            Outcome::Unfinished => "unfinished",
+            Outcome::Unfinished => "open",
         }
     }
 }
