--- a/crates/chunks/src/cache.rs
+++ b/crates/chunks/src/cache.rs
@@ -260,7 +260,7 @@
     fn is_late(&self, key: &Version) -> bool {
         let facts = &self.drawing.facts;
         let view = facts.view();
-        let named = view.targets.named_at(&key.0, key.1);
+        let named = view.targets.targeted_at(&key.0, key.1);
         named.is_none_or(|at| facts.now().since(at) > LATE)
     }
 
--- a/crates/chunks/src/find_manifest.rs
+++ b/crates/chunks/src/find_manifest.rs
@@ -145,7 +145,8 @@
         let (model, version) = (self.model, self.version);
         let view = self.drawing.facts.view();
         let routes = view.routes.as_ref();
-        let chunks = routes.and_then(|r| r.engine_of(model)).map(|e| e.chunks);
+        let chunks =
+            routes.and_then(|r| r.engine_for_model(model)).map(|e| e.chunks);
         let expected = chunks.map_or(found.digests.len(), |c| c as usize);
         let fits = found.version == version
             && found.model == *model
--- a/crates/entry/src/choose.rs
+++ b/crates/entry/src/choose.rs
@@ -91,7 +91,7 @@
             if leaves || seat.leaves || now < seat.away {
                 continue;
             }
-            if seat.health.fit(now) {
+            if seat.health.is_available(now) {
                 fit.push(Arc::clone(name));
             } else {
                 weak.push(Arc::clone(name));
--- a/crates/entry/src/front.rs
+++ b/crates/entry/src/front.rs
@@ -187,7 +187,7 @@
         let Some(incarnation) = self.incarnation(&chosen).await else {
             self.tried.insert(Arc::clone(&chosen.name));
             let now = self.entry.node.now();
-            self.entry.seat(&chosen.name, |s| s.health.fail(now));
+            self.entry.seat(&chosen.name, |s| s.health.record_failure(now));
             return Err(self.after(Failure::Unsent).await);
         };
         let attempt = self.entry.attempt();
--- a/crates/entry/src/send.rs
+++ b/crates/entry/src/send.rs
@@ -67,7 +67,7 @@
             Err(err) => {
                 log::debug!("{}: {err}", chosen.name);
                 let now = self.node.now();
-                self.seat(&chosen.name, |s| s.health.fail(now));
+                self.seat(&chosen.name, |s| s.health.record_failure(now));
                 return Err(FailedAttempt::from(match err {
                     CallError::Unsent(_) => Failure::Unsent,
                     CallError::Silent(_) => Failure::Silent,
@@ -77,7 +77,7 @@
         self.learn(chosen, response.headers());
         match code(response.headers()) {
             None => {
-                self.seat(&chosen.name, |s| s.health.succeed());
+                self.seat(&chosen.name, |s| s.health.record_success());
                 Ok(response)
             }
             Some(code) => {
@@ -164,7 +164,7 @@
             | Code::DuplicateRan => {}
             _ => {
                 let now = self.node.now();
-                self.seat(name, |s| s.health.fail(now));
+                self.seat(name, |s| s.health.record_failure(now));
             }
         }
         let ran = map.get(headers::RAN).and_then(|v| v.to_str().ok());
--- a/crates/gateway/src/admit.rs
+++ b/crates/gateway/src/admit.rs
@@ -49,7 +49,7 @@
     route: &Route,
     caller: &CallerRequest,
 ) -> Result<Option<Arc<Workspace>>, Failed> {
-    if !routes.guarded() || route.public {
+    if !routes.requires_keys() || route.public {
         return Ok(None);
     }
     let Some(key) = &caller.key else {
--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -179,7 +179,7 @@
 
     /// Returns why no replica serves what is needed.
     fn lack(&self, state: &State, view: &FactsView, mut need: Need) -> Lack {
-        if !need.regions.is_bound() {
+        if !need.regions.is_restricted() {
             return Lack::Replica;
         }
         need.regions = AllowedRegions::default();
@@ -273,9 +273,9 @@
         }
         let all = report.queued + report.running;
         let own = known.load.own();
-        known.load = known.load.reported(report.queued, report.running);
+        known.load = known.load.with_report(report.queued, report.running);
         known.reported = Some(Reported { report, at: Instant::now() });
-        state.contention.note(own, all);
+        state.contention.record_report(own, all);
         if tells_entries {
             self.rank_entries(&mut state);
         }
--- a/crates/gateway/src/dispatch/find.rs
+++ b/crates/gateway/src/dispatch/find.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use stairhinge::direct::Replica;
-use stairhinge::direct::balance::{Candidate, Pace, choose};
+use stairhinge::direct::balance::{Candidate, LatencyModel, choose};
 use stairhinge::placing::{Access, Need, SendPace};
 use stairhinge::rank;
 use stairhinge_shell::decisions::Decision;
@@ -218,26 +218,26 @@
         }
         let suspected = need.suspicion.ended > 0;
         let shared = known.has_trial() || (suspected && known.has_suspect());
-        let fitness = match known.health.fit(self.facts.now()) {
+        let fitness = match known.health.is_available(self.facts.now()) {
             true if shared => Fitness::Shared,
             true => Fitness::Sound,
             false => Fitness::Failing,
         };
         let room = self.evacuation_room(view, &replica.hall);
         let slots = (f64::from(replica.slots) * room) as u32;
-        let pace = engine.map_or_else(
-            || Pace::plain(slots),
-            |engine| Pace { entries, ..engine.pace(slots) },
+        let latency = engine.map_or_else(
+            || LatencyModel::plain(slots),
+            |engine| LatencyModel { entries, ..engine.latency_model(slots) },
         );
         let candidate = Candidate {
             load: known.load,
-            pace,
+            latency,
             near,
             queue: queue_room(slots, engine.is_some()),
             offset,
-            delay_ms: known.delay_ms(),
+            link_delay_ms: known.delay_ms(),
             slowdown: known.slowdown(),
-            most_ms: BACKLOG_PART * objective.as_millis() as f64,
+            max_backlog_ms: BACKLOG_PART * objective.as_millis() as f64,
         };
         Some((candidate, fitness))
     }
@@ -258,7 +258,7 @@
 
     /// Returns the number of data halls whose entries choose replicas.
     fn hall_count(&self) -> usize {
-        self.bounds.regions.halls().unwrap_or(MOST_HALLS)
+        self.bounds.regions.hall_count().unwrap_or(MOST_HALLS)
     }
 
     /// Returns this entry's leaning towards a replica, from 0 to 1.
@@ -280,7 +280,7 @@
         let listed = view.replicas.get(only);
         let known = state.known.get(only);
         listed.is_some_and(|(r, _)| r.service == need.service)
-            && known.is_none_or(|k| k.health.fit(self.facts.now()))
+            && known.is_none_or(|k| k.health.is_available(self.facts.now()))
     }
 }
 
--- a/crates/gateway/src/dispatch/hall.rs
+++ b/crates/gateway/src/dispatch/hall.rs
@@ -36,7 +36,7 @@
     pub(super) fn fleet_entries_in(&self, state: &State) -> Option<usize> {
         let listening = state.listening;
         let halls =
-            self.bounds.regions.halls().unwrap_or_else(|| self.halls());
+            self.bounds.regions.hall_count().unwrap_or_else(|| self.halls());
         (listening > 0).then_some(listening * halls.max(1))
     }
 
--- a/crates/gateway/src/dispatch/known.rs
+++ b/crates/gateway/src/dispatch/known.rs
@@ -136,7 +136,7 @@
 
     /// Drops the agent's report; returns whether there was one.
     pub(super) fn drop_report(&mut self) -> bool {
-        self.load = self.load.unreported();
+        self.load = self.load.without_report();
         self.reported.take().is_some()
     }
 
--- a/crates/gateway/src/dispatch/outcome.rs
+++ b/crates/gateway/src/dispatch/outcome.rs
@@ -10,7 +10,7 @@
 impl Dispatcher {
     pub(super) fn succeeded(&self, incarnation: &str) {
         if let Some(known) = self.lock().known.get_mut(incarnation) {
-            known.health.succeed();
+            known.health.record_success();
         }
     }
 
@@ -19,9 +19,9 @@
         let (failures, span) = {
             let mut state = self.lock();
             let Some(known) = state.known.get_mut(incarnation) else { return };
-            known.health.fail(now);
+            known.health.record_failure(now);
             known.slow_at = Some(Instant::now());
-            (known.health.failures(), known.health.span())
+            (known.health.failures(), known.health.backoff())
         };
         self.facts.log().write(&Decision::ReplicaSuspect {
             replica: incarnation,
@@ -42,7 +42,7 @@
     pub(super) fn rejected(&self, incarnation: &str, retry_after: Duration) {
         let now = self.facts.now();
         if let Some(known) = self.lock().known.get_mut(incarnation) {
-            known.health.fail_capped(retry_after, now);
+            known.health.record_failure_capped(retry_after, now);
         }
     }
 
--- a/crates/gateway/src/dispatch/terms.rs
+++ b/crates/gateway/src/dispatch/terms.rs
@@ -101,7 +101,7 @@
     /// is evacuated.
     pub(super) fn evacuation_room(&self, view: &FactsView, hall: &str) -> f64 {
         let Some(since) = view.evacuations.since(hall) else { return 1.0 };
-        self.bounds.evacuation.room(since, self.facts.now())
+        self.bounds.evacuation.capacity_fraction(since, self.facts.now())
     }
 
     /// Returns until when a request may begin on a version outdated since
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -82,7 +82,7 @@
     }
 
     fn cut(reason: impl ToString) -> Missed {
-        let missed = Missed::new(AttemptResult::Silent, reason);
+        let missed = Missed::new(AttemptResult::NoResponse, reason);
         Missed { cut: true, ..missed }
     }
 }
@@ -206,7 +206,8 @@
             .and_then(|w| w.priority)
             .unwrap_or(route.priority);
         let of_workspace = workspace.as_ref().map(|w| w.regions.clone());
-        let regions = route.regions.and(&of_workspace.unwrap_or_default());
+        let regions =
+            route.regions.intersection(&of_workspace.unwrap_or_default());
         let context = Arc::new(RequestContext {
             caller,
             service,
@@ -221,7 +222,7 @@
             body,
             fingerprint: OnceLock::new(),
         });
-        self.share(&context.service, |s| s.request(self.facts.now()));
+        self.share(&context.service, |s| s.record_request(self.facts.now()));
         let answered = Arc::clone(&self).attempts(Arc::clone(&context)).await;
         if answered.is_err() {
             self.poison.given_up(&context);
@@ -240,7 +241,7 @@
         let status = head.status;
         if head.headers.contains_key(CONTENT_ENCODING) {
             let why = "an encoding that nobody asked for";
-            return Err(Missed::new(AttemptResult::Silent, why));
+            return Err(Missed::new(AttemptResult::NoResponse, why));
         }
         self.metrics.answered(context.started.elapsed().as_secs_f64());
         if context.route.streaming && status.is_success() {
@@ -263,7 +264,7 @@
             place.note(Outcome::Failed);
             match e.code() {
                 Code::MalformedHttp => Missed::cut(e),
-                _ => Missed::new(AttemptResult::Silent, e),
+                _ => Missed::new(AttemptResult::NoResponse, e),
             }
         })?;
         self.pool.put(connection, &head.headers);
@@ -278,7 +279,7 @@
             place.note(Outcome::Succeeded);
         }
         let why = format!("the replica answered {status}");
-        let missed = Missed::new(AttemptResult::Silent, why);
+        let missed = Missed::new(AttemptResult::NoResponse, why);
         if promises(status.as_u16()) {
             // It may have run, and this status would say that it did not.
             return Err(missed);
@@ -305,7 +306,7 @@
     /// Spends a retry of a service's share, if there is one.
     pub(crate) fn spend(&self, service: &Arc<str>) -> bool {
         let now = self.facts.now();
-        self.share(service, |share| share.spend(now))
+        self.share(service, |share| share.try_spend(now))
     }
 
     fn share<T>(
@@ -319,7 +320,7 @@
         let mut shares =
             self.shares.lock().unwrap_or_else(PoisonError::into_inner);
         let share = shares.entry(Arc::clone(service)).or_default();
-        share.set_bound(window, bound.ratio, bound.minimum, entries);
+        share.set_limits(window, bound.ratio, bound.minimum, entries);
         act(share)
     }
 }
--- a/crates/gateway/src/forward/attempts.rs
+++ b/crates/gateway/src/forward/attempts.rs
@@ -82,7 +82,7 @@
                     Err(missed) => missed,
                 };
             *failure = missed.failure.take().or(failure.take());
-            ran |= matches!(missed.result, AttemptResult::Silent);
+            ran |= matches!(missed.result, AttemptResult::NoResponse);
             let (replica_ended, known) =
                 self.examine(context, &replica, missed.cut, suspicion).await;
             let may = attempt < context.route.attempts
@@ -146,7 +146,7 @@
             return Err(Failed::new(Error::new(Code::LostBackend, lack)));
         }
         let (code, shortage) = match lack {
-            Lack::Room => (Code::NoBackend, Shortage::NoRoom),
+            Lack::Room => (Code::NoBackend, Shortage::NoCapacity),
             Lack::Replica => (Code::NoBackend, no_replica_shortage(&count)),
             Lack::Region => (Code::NoRegion, Shortage::NoReplica),
         };
@@ -179,7 +179,7 @@
 /// Returns the shortage to report when no replica could serve a request.
 fn no_replica_shortage(count: &ReplicaCount) -> Shortage {
     match count.min_retry_after {
-        Some(left) if count.suitable == 0 => Shortage::Resting(left),
+        Some(left) if count.suitable == 0 => Shortage::RetryAfter(left),
         _ => Shortage::NoReplica,
     }
 }
--- a/crates/gateway/src/forward/refuse.rs
+++ b/crates/gateway/src/forward/refuse.rs
@@ -52,7 +52,7 @@
 /// Returns the refusal of a request that has not run, with when its caller
 /// may come back.
 pub(super) fn refused(error: Error, shortage: Shortage) -> Failed {
-    let span = shortage.come_back(rand::rng().random());
+    let span = shortage.retry_after(rand::rng().random());
     Failed::new(error).with_back(span)
 }
 
--- a/crates/gateway/src/forward/send.rs
+++ b/crates/gateway/src/forward/send.rs
@@ -63,7 +63,7 @@
             Err(_) => {
                 place.note(Outcome::Failed);
                 let why = format!("no answer in {} ms", patience.as_millis());
-                return Err(Missed::new(AttemptResult::Silent, why));
+                return Err(Missed::new(AttemptResult::NoResponse, why));
             }
         };
         let (head, body) = response.into_parts();
@@ -92,7 +92,7 @@
             }
             Judgement::Foreign => {
                 let why = "an answer to another request";
-                Err(Missed::new(AttemptResult::Silent, why))
+                Err(Missed::new(AttemptResult::NoResponse, why))
             }
         }
     }
--- a/crates/gateway/src/hall_reader.rs
+++ b/crates/gateway/src/hall_reader.rs
@@ -100,15 +100,15 @@
         let entries = self.entries();
         let now = self.facts.now();
         let choice = self.choice();
-        let alive = choice.alive(&entries);
+        let alive = choice.first_responsive(&entries);
         alive.or_else(|| choice.choose(&entries, now))
     }
 
     fn failed(&self, entry: SocketAddr, unheard: &Unheard) {
         let now = self.facts.now();
         let was_well = match unheard {
-            Unheard::Lost(_) => self.choice().failed(entry, now),
-            Unheard::Old(_) => self.choice().had_old_news(entry, now),
+            Unheard::Lost(_) => self.choice().record_failure(entry, now),
+            Unheard::Old(_) => self.choice().record_stale(entry, now),
         };
         if !was_well {
             return;
@@ -123,7 +123,9 @@
 
     fn answered(&self, entry: SocketAddr) {
         let now = self.facts.now();
-        let Some(lost) = self.choice().answered(entry, now) else { return };
+        let Some(lost) = self.choice().record_success(entry, now) else {
+            return;
+        };
         self.facts.log().write(&Decision::DependencyRegained {
             dependency: &format!("hall reader {entry}"),
             lost_ms: lost.as_millis() as u64,
@@ -148,7 +150,7 @@
             }
             let leading = self.dispatcher.ranked().len();
             let entries = self.entries();
-            let awaited = self.choice().awaited(&entries, leading);
+            let awaited = self.choice().reader_to_await(&entries, leading);
             let Some(entry) = awaited else { return HallNews::Nobody };
             if rand::rng().random_ratio(1, READ_ANYWAY) {
                 return HallNews::Nobody;
--- a/crates/gateway/src/hall_reader/round.rs
+++ b/crates/gateway/src/hall_reader/round.rs
@@ -77,7 +77,7 @@
         pending: &[Asked],
         count: usize,
     ) -> Option<SocketAddr> {
-        if count >= ReaderChoice::MOST_ASKED {
+        if count >= ReaderChoice::MAX_ASKED {
             return None;
         }
         let asked: Vec<SocketAddr> = pending.iter().map(|a| a.entry).collect();
@@ -92,7 +92,7 @@
         asked: Option<SocketAddr>,
         count: usize,
     ) -> Duration {
-        let doubted = asked.is_some_and(|e| self.choice().doubts(e));
+        let doubted = asked.is_some_and(|e| self.choice().has_failed(e));
         if doubted || count > IN_TURN {
             return Duration::ZERO;
         }
@@ -104,8 +104,8 @@
     fn leave(&self, pending: &[Asked], patience: Duration) {
         let now = self.facts.now();
         for asked in pending {
-            if self.choice().doubts(asked.entry) {
-                self.choice().passed_over(asked.entry, now);
+            if self.choice().has_failed(asked.entry) {
+                self.choice().extend_backoff(asked.entry, now);
                 continue;
             }
             let silent = asked.at.elapsed();
--- a/crates/loader/src/drive.rs
+++ b/crates/loader/src/drive.rs
@@ -108,7 +108,7 @@
 /// began; until one says it they are presumed to be old.
 async fn learn_ages(agent: Arc<Agent>) {
     for _ in 0..AGE_ROUNDS {
-        if !agent.facts.view().targets.any_presumed() {
+        if !agent.facts.view().targets.has_estimates() {
             tokio::time::sleep(PAUSE).await;
             continue;
         }
@@ -118,7 +118,7 @@
             };
             let news = report.news.unwrap_or_default();
             agent.facts.learn_targets(&news.targets);
-            if !agent.facts.view().targets.any_presumed() {
+            if !agent.facts.view().targets.has_estimates() {
                 return;
             }
         }
--- a/crates/loader/src/read_routes.rs
+++ b/crates/loader/src/read_routes.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use rand::RngExt as _;
-use stairhinge::direct::FirstReading;
+use stairhinge::direct::FirstReadDelay;
 use stairhinge::{Code, Error};
 use stairhinge_chunks::log_failure;
 use stairhinge_gateway::fetch_routes;
@@ -66,14 +66,14 @@
 
 /// Asks entries for the first routes, and returns whether one had them.
 async fn ask_entries(agent: &Arc<Agent>, turn: &mut EntryTurn) -> bool {
-    let reading = FirstReading::new(rand::rng().random());
+    let delay = FirstReadDelay::new(rand::rng().random());
     let begun = Instant::now();
     // The list is small, and it says how many read the routes.
     let mut relist = Relist::default();
     relist.start(agent);
     let listed = || agent.facts.view().replicas.len();
     while agent.entries.may_tell()
-        || begun.elapsed() < reading.of_agent(listed())
+        || begun.elapsed() < delay.for_agent(listed())
     {
         if next_entry(agent, turn).is_some() {
             match from_entry(agent, turn).await {
--- a/crates/loader/src/turn.rs
+++ b/crates/loader/src/turn.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use stairhinge::Time;
-use stairhinge::direct::Rollout;
+use stairhinge::direct::RolloutTurn;
 use stairhinge::weights::FetchPace;
 
 use crate::agent::Agent;
@@ -42,7 +42,7 @@
         let held = agent.state.borrow().as_ref().and_then(|s| s.version);
         let outdated = held
             .and_then(|version| view.targets.outdated_since(model, version));
-        let named = view.targets.named_at(model, version);
+        let named = view.targets.targeted_at(model, version);
         let (true, Some(named), Some(outdated)) = (serves, named, outdated)
         else {
             return Turn { number: 0, pauses_at: None, ends_at: None };
@@ -56,7 +56,7 @@
         }
         let subject = format!("{model}@{version}");
         let me = agent.settings.engine.to_string();
-        let rollout = Rollout::new(subject.as_bytes(), &members, &me);
+        let rollout = RolloutTurn::new(subject.as_bytes(), &members, &me);
         // The first ones finish their work while the last chunks come. Once
         // these are here, the turns are spread over what time is left.
         let soonest = named.after(transfer);
--- a/crates/model/src/send_once.rs
+++ b/crates/model/src/send_once.rs
@@ -73,10 +73,10 @@
     fn after(&self, state: &State, result: AttemptResult) -> State {
         let mut to = state.clone();
         to.waiting = false;
-        to.may_have_run |= result == AttemptResult::Silent;
+        to.may_have_run |= result == AttemptResult::NoResponse;
         let known = to.may_have_run && self.without != Without::Memory;
         let seen = match (self.without, result) {
-            (Without::OwnWord, AttemptResult::Silent) => {
+            (Without::OwnWord, AttemptResult::NoResponse) => {
                 AttemptResult::Declined
             }
             _ => result,
@@ -125,7 +125,7 @@
         if !state.waiting {
             return;
         }
-        let silent = self.after(state, AttemptResult::Silent);
+        let silent = self.after(state, AttemptResult::NoResponse);
         next.push(("the connection breaks".to_string(), silent));
         match state.sent.last() {
             Some(Place::Ran) => {
--- a/crates/shell/src/directory/facts/targets.rs
+++ b/crates/shell/src/directory/facts/targets.rs
@@ -49,7 +49,7 @@
             let since = age.map(|age| self.ago(age));
             self.learn_target(&target, "peer", since);
         }
-        if self.view().targets.any_presumed() {
+        if self.view().targets.has_estimates() {
             self.refine_ages(told);
         }
     }
@@ -64,7 +64,7 @@
                 model: Arc::clone(&told.model),
                 version: told.version,
             };
-            self.change(|view| view.targets.refine(&target, since));
+            self.change(|view| view.targets.replace_estimate(&target, since));
         }
     }
 
@@ -77,10 +77,10 @@
         let mut taken = false;
         self.change(|view| {
             taken = match synced {
-                Some(since) => view.targets.learn(target, since),
+                Some(since) => view.targets.record(target, since),
                 None => {
                     let since = self.ago(self.presumed_age);
-                    view.targets.presume(target, since)
+                    view.targets.record_estimate(target, since)
                 }
             };
             taken
--- a/crates/shell/src/directory/follow/start.rs
+++ b/crates/shell/src/directory/follow/start.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use rand::RngExt as _;
-use stairhinge::direct::FirstReading;
+use stairhinge::direct::FirstReadDelay;
 
 use super::{Asked, Follower};
 use crate::directory::Collection;
@@ -24,7 +24,7 @@
         }
         let Some(sharing) = self.follow.sharing.clone() else { return };
         let begun = Instant::now();
-        let reading = FirstReading::new(rand::rng().random());
+        let delay = FirstReadDelay::new(rand::rng().random());
         loop {
             if sharing.reader.leads()
                 || matches!(self.ask_hall().await, Asked::Told)
@@ -34,7 +34,7 @@
             let listed = self.facts.view().replicas.len();
             let found = begun.elapsed() >= self.follow.settling.mul_f64(FOUND)
                 || !self.waits_for_others();
-            if found && begun.elapsed() >= reading.of_entry(listed) {
+            if found && begun.elapsed() >= delay.for_entry(listed) {
                 return;
             }
             tokio::time::sleep(LOOK).await;
--- a/crates/shell/src/directory/share.rs
+++ b/crates/shell/src/directory/share.rs
@@ -104,7 +104,7 @@
     pub fn reach(&self, collection: Collection, at: u64, synced: Time) {
         let mut state = self.lock();
         if collection == Collection::Replicas {
-            state.published.reach(at);
+            state.published.advance_to(at);
         }
         let contact = state.contact(collection);
         contact.at = contact.at.max(Some(at));
@@ -189,7 +189,7 @@
     fn has_evacuations(&self, question: &SharedQuestion) -> bool {
         let at = self.lock().contact(question.collection).at;
         let ahead = at > question.after;
-        ahead && !self.facts.view().evacuations.are_in(&question.evacuated)
+        ahead && !self.facts.view().evacuations.matches(&question.evacuated)
     }
 
     fn compose(&self, question: &SharedQuestion) -> Option<SharedAnswer> {
@@ -213,7 +213,7 @@
                 // The asker takes nothing so old, and a whole list is large.
                 return Some(answer);
             }
-            let changes = state.published.since(question.after)?;
+            let changes = state.published.changes_since(question.after)?;
             answer.replicas = Some(SharedReplicas::new(changes));
             return Some(answer);
         }
--- a/src/direct.rs
+++ b/src/direct.rs
@@ -8,25 +8,25 @@
 //! attempt; [`RetryShare`] whether a further attempt may be made at all;
 //! [`Shortage`] when a refused caller comes back; [`EventSplitter`] where a
 //! stream may be cut and taken up again; [`Contention`] how many entries
-//! choose among the same replicas; [`Rollout`] when a replica changes to new
+//! choose among the same replicas; [`RolloutTurn`] when a replica changes to new
 //! weights; [`ReaderChoice`] which entry reads the platform for the others;
 //! [`AllowedRegions`] where a request may be served; [`Evacuations`] which
 //! halls get no requests;
-//! and [`FirstReading`] how long one that has just started waits for them.
+//! and [`FirstReadDelay`] how long one that has just started waits for them.
 
 pub mod balance;
 
 mod attempt_result;
-mod come_back;
 mod contention;
 mod evacuation;
 mod event_splitter;
-mod first_reading;
+mod first_read_delay;
 mod layers;
 mod published_replicas;
 mod reader_choice;
 mod regions;
 mod replica;
+mod retry_after;
 mod retry_share;
 mod rollout;
 mod route;
@@ -34,18 +34,18 @@
 mod version_target;
 
 pub use self::attempt_result::{AttemptResult, NextStep, next_step};
-pub use self::come_back::Shortage;
 pub use self::contention::Contention;
 pub use self::evacuation::{EvacuationBound, Evacuations};
 pub use self::event_splitter::{Event, EventSplitter};
-pub use self::first_reading::FirstReading;
+pub use self::first_read_delay::FirstReadDelay;
 pub use self::layers::LayerRange;
 pub use self::published_replicas::{PublishedReplicas, ReplicaChanges};
 pub use self::reader_choice::{HallEntry, ReaderChoice};
 pub use self::regions::{AllowedRegions, HallRegions};
 pub use self::replica::{Replica, ReplicaState, ReplicaVersion};
+pub use self::retry_after::Shortage;
 pub use self::retry_share::RetryShare;
-pub use self::rollout::Rollout;
+pub use self::rollout::RolloutTurn;
 pub use self::route::{Destination, Repeat, Route};
 pub use self::route_table::{
     Engine, Origin, RouteTable, RouteTableParts, Service, Workspace,
@@ -53,14 +53,14 @@
 pub use self::version_target::{VersionTarget, VersionTargets};
 
 #[cfg(test)]
-mod come_back_tests;
-#[cfg(test)]
-mod first_reading_tests;
+mod first_read_delay_tests;
 #[cfg(test)]
 mod overload_tests;
 #[cfg(test)]
 mod region_tests;
 #[cfg(test)]
+mod retry_after_tests;
+#[cfg(test)]
 mod sharing_tests;
 #[cfg(test)]
 mod tests;
--- a/src/direct/attempt_result.rs
+++ b/src/direct/attempt_result.rs
@@ -10,9 +10,9 @@
     /// The replica says that it did not run the request.
     Declined,
     /// It was sent and nothing, or nothing usable, came back.
-    Silent,
+    NoResponse,
     /// The answer broke off after its head had gone to the caller.
-    Broke,
+    Interrupted,
 }
 
 /// What to do next.
@@ -46,7 +46,7 @@
 pub const fn next_step(
     result: AttemptResult,
     repeat: Repeat,
-    ran: bool,
+    may_have_run: bool,
     may_retry: bool,
 ) -> NextStep {
     let known_unrun =
@@ -55,7 +55,7 @@
     if may_retry && (known_unrun || repeatable) {
         return NextStep::Retry;
     }
-    if known_unrun && !ran {
+    if known_unrun && !may_have_run {
         return NextStep::Refuse;
     }
     NextStep::Fail
--- a/src/direct/balance.rs
+++ b/src/direct/balance.rs
@@ -40,7 +40,7 @@
 
     /// Returns the load with a report taken in.
     #[must_use]
-    pub const fn reported(mut self, pending: u32, running: u32) -> Load {
+    pub const fn with_report(mut self, pending: u32, running: u32) -> Load {
         self.others_pending = pending.saturating_sub(self.own_pending);
         self.others_running = running.saturating_sub(self.own_running);
         self
@@ -48,7 +48,7 @@
 
     /// Returns the load without what others were reported to have sent.
     #[must_use]
-    pub const fn unreported(mut self) -> Load {
+    pub const fn without_report(mut self) -> Load {
         self.others_pending = 0;
         self.others_running = 0;
         self
@@ -57,7 +57,7 @@
 
 /// How long a kind of replica takes.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Pace {
+pub struct LatencyModel {
     /// Requests that it runs at a time.
     pub slots: u32,
     /// Prompt tokens read in a millisecond; 0 where there are none.
@@ -70,10 +70,10 @@
     pub slot_ms: f64,
 }
 
-impl Pace {
+impl LatencyModel {
     /// Returns the pace of a plain service.
-    pub const fn plain(slots: u32) -> Pace {
-        Pace {
+    pub const fn plain(slots: u32) -> LatencyModel {
+        LatencyModel {
             slots,
             tokens_per_ms: 0.0,
             usual_prompt: 0.0,
@@ -101,11 +101,11 @@
         let over = (load.total() + 1).saturating_sub(self.slots);
         ms += f64::from(over) * self.slot_ms;
         let filled = f64::from(load.total()) / f64::from(self.slots.max(1));
-        ms + filled * Pace::FULL_MS
+        ms + filled * LatencyModel::FULL_LOAD_MS
     }
 
     /// How much slower a full replica is than an empty one.
-    const FULL_MS: f64 = 40.0;
+    const FULL_LOAD_MS: f64 = 40.0;
 }
 
 /// A replica that could take a request.
@@ -114,7 +114,7 @@
     /// What is known of its load.
     pub load: Load,
     /// How long it takes.
-    pub pace: Pace,
+    pub latency: LatencyModel,
     /// Whether it is in the entry's data hall.
     pub near: bool,
     /// How many more requests than slots it may get.
@@ -122,34 +122,35 @@
     /// The entry's leaning, from 0 (towards it) to 1.
     pub offset: f64,
     /// How much longer than usual the way there takes, in milliseconds.
-    pub delay_ms: f64,
+    pub link_delay_ms: f64,
     /// How many times slower than usual the replica says it is.
     pub slowdown: f64,
     /// How long prompts that are still to be read may take at most, in
     /// milliseconds.
-    pub most_ms: f64,
+    pub max_backlog_ms: f64,
 }
 
 impl Candidate {
     /// The cost of going to another data hall, in milliseconds.
-    const FAR_MS: f64 = 30.0;
+    const CROSS_HALL_MS: f64 = 30.0;
 
     /// How long the first token takes where nobody else is served.
-    const ALONE_MS: f64 = 120.0;
+    const IDLE_FIRST_TOKEN_MS: f64 = 120.0;
 
     /// The most that a leaning weighs, in milliseconds.
-    const OFFSET_MS: f64 = 50.0;
+    const MAX_OFFSET_MS: f64 = 50.0;
 
-    fn has_room(&self) -> bool {
-        self.load.total() < self.pace.slots + self.queue
-            && self.pace.backlog_ms(&self.load) <= self.most_ms
+    fn has_capacity(&self) -> bool {
+        self.load.total() < self.latency.slots + self.queue
+            && self.latency.backlog_ms(&self.load) <= self.max_backlog_ms
     }
 
     fn cost(&self) -> f64 {
-        let far = if self.near { 0.0 } else { Candidate::FAR_MS };
-        let offset = self.offset * Candidate::OFFSET_MS;
-        let first = self.pace.first_token_ms(&self.load) + Candidate::ALONE_MS;
-        first * self.slowdown.max(1.0) + far + offset + self.delay_ms
+        let far = if self.near { 0.0 } else { Candidate::CROSS_HALL_MS };
+        let offset = self.offset * Candidate::MAX_OFFSET_MS;
+        let first = self.latency.first_token_ms(&self.load)
+            + Candidate::IDLE_FIRST_TOKEN_MS;
+        first * self.slowdown.max(1.0) + far + offset + self.link_delay_ms
     }
 }
 
@@ -157,7 +158,7 @@
 pub fn choose(candidates: &[Candidate]) -> Option<usize> {
     let mut best: Option<(usize, f64)> = None;
     for (i, candidate) in candidates.iter().enumerate() {
-        if !candidate.has_room() {
+        if !candidate.has_capacity() {
             continue;
         }
         let cost = candidate.cost();
--- a/src/direct/contention.rs
+++ b/src/direct/contention.rs
@@ -16,11 +16,11 @@
 impl Contention {
     /// What is left of older reports with each new one: half after 346, which
     /// 20 replicas that report 25 times a second make in 0.7 s.
-    const KEPT: f64 = 0.998;
+    const DECAY: f64 = 0.998;
 
     /// The most entries that are counted on: a share too small to measure
     /// must not keep an entry from sending at all.
-    const MOST: f64 = 16.0;
+    const MAX_ENTRIES: f64 = 16.0;
 
     /// Returns a share of all: the only entry, until reports say otherwise.
     pub const fn new() -> Contention {
@@ -29,17 +29,17 @@
 
     /// Takes in a report of a replica that has `all` requests, `own` of them
     /// this entry's.
-    pub fn note(&mut self, own: u32, all: u32) {
-        self.own = self.own * Contention::KEPT + f64::from(own.min(all));
-        self.all = self.all * Contention::KEPT + f64::from(all);
+    pub fn record_report(&mut self, own: u32, all: u32) {
+        self.own = self.own * Contention::DECAY + f64::from(own.min(all));
+        self.all = self.all * Contention::DECAY + f64::from(all);
     }
 
     /// Returns how many entries share the replicas, from 1 on.
     pub fn entries(&self) -> f64 {
         if self.own <= 0.0 {
-            return Contention::MOST;
+            return Contention::MAX_ENTRIES;
         }
-        (self.all / self.own).clamp(1.0, Contention::MOST)
+        (self.all / self.own).clamp(1.0, Contention::MAX_ENTRIES)
     }
 }
 
--- a/src/direct/evacuation.rs
+++ b/src/direct/evacuation.rs
@@ -42,7 +42,7 @@
     }
 
     /// Returns whether these halls are the evacuated ones.
-    pub fn are_in(&self, halls: &[Arc<str>]) -> bool {
+    pub fn matches(&self, halls: &[Arc<str>]) -> bool {
         self.0.len() == halls.len()
             && halls.iter().all(|hall| self.0.contains_key(hall))
     }
@@ -55,7 +55,7 @@
 impl EvacuationBound {
     /// The part of the bound over which a hall is emptied. The rest is for
     /// what is on its way.
-    const SPREAD: f64 = 0.6;
+    const DRAIN_FRACTION: f64 = 0.6;
 
     /// Returns a bound.
     pub const fn new(within: Duration) -> EvacuationBound {
@@ -64,8 +64,8 @@
 
     /// Returns the part of a hall's room that may be used at `now`, from 1 at
     /// the order to 0.
-    pub fn room(&self, since: Time, now: Time) -> f64 {
-        let spread = self.0.mul_f64(EvacuationBound::SPREAD);
+    pub fn capacity_fraction(&self, since: Time, now: Time) -> f64 {
+        let spread = self.0.mul_f64(EvacuationBound::DRAIN_FRACTION);
         let gone = now.since(since).as_secs_f64();
         let left = 1.0 - gone / spread.as_secs_f64().max(f64::MIN_POSITIVE);
         left.clamp(0.0, 1.0)
--- a/src/direct/overload_tests.rs
+++ b/src/direct/overload_tests.rs
@@ -1,10 +1,10 @@
 //! How replicas are kept from getting more than they can begin in time.
 
-use super::balance::{Candidate, Load, Pace, choose};
+use super::balance::{Candidate, LatencyModel, Load, choose};
 use super::{Contention, Replica, ReplicaState};
 
 fn candidate(load: Load, entries: f64) -> Candidate {
-    let pace = Pace {
+    let latency = LatencyModel {
         slots: 16,
         tokens_per_ms: 30.0,
         usual_prompt: 1_000.0,
@@ -13,13 +13,13 @@
     };
     Candidate {
         load,
-        pace,
+        latency,
         near: true,
         queue: 0,
         offset: 0.0,
-        delay_ms: 0.0,
+        link_delay_ms: 0.0,
         slowdown: 1.0,
-        most_ms: 200.0,
+        max_backlog_ms: 200.0,
     }
 }
 
@@ -50,15 +50,15 @@
     let mut contention = Contention::new();
     assert!((contention.entries() - 1.0).abs() < 1e-9);
     for _ in 0..2_000 {
-        contention.note(2, 16);
+        contention.record_report(2, 16);
     }
     assert!((contention.entries() - 8.0).abs() < 0.1);
     for _ in 0..4_000 {
-        contention.note(8, 16);
+        contention.record_report(8, 16);
     }
     assert!((contention.entries() - 2.0).abs() < 0.1, "others have gone");
     for _ in 0..9_000 {
-        contention.note(0, 16);
+        contention.record_report(0, 16);
     }
     assert!(contention.entries() <= 16.0, "it is never shut out");
 }
--- a/src/direct/published_replicas.rs
+++ b/src/direct/published_replicas.rs
@@ -42,10 +42,10 @@
 
 impl PublishedReplicas {
     /// The most replicas remembered as gone.
-    const MOST_GONE: usize = 1_024;
+    const MAX_REMOVED: usize = 1_024;
 
     /// Returns the platform's revision that the list reflects.
-    pub const fn at(&self) -> Option<u64> {
+    pub const fn revision(&self) -> Option<u64> {
         self.at
     }
 
@@ -68,7 +68,7 @@
         for incarnation in absent {
             self.remove(incarnation, at);
         }
-        self.reach(at);
+        self.advance_to(at);
     }
 
     /// Takes in a replica as it is at a revision.
@@ -86,11 +86,11 @@
     pub fn remove(&mut self, incarnation: Arc<str>, at: u64) {
         let entry = Entry { changed: at, replica: None };
         self.entries.insert(incarnation, entry);
-        self.forget_oldest();
+        self.evict_oldest_removal();
     }
 
     /// Takes in that all changes up to a revision are known.
-    pub fn reach(&mut self, at: u64) {
+    pub fn advance_to(&mut self, at: u64) {
         self.at = Some(self.at.map_or(at, |known| known.max(at)));
     }
 
@@ -101,7 +101,7 @@
 
     /// Returns what has changed after a revision, all that is listed without
     /// one, or `None` while nothing has been read.
-    pub fn since(&self, after: Option<u64>) -> Option<ReplicaChanges> {
+    pub fn changes_since(&self, after: Option<u64>) -> Option<ReplicaChanges> {
         let at = self.at?;
         let whole = after.is_none_or(|after| after < self.floor);
         let mut changes = ReplicaChanges { at, whole, ..Default::default() };
@@ -119,9 +119,9 @@
     }
 
     /// Drops the replicas that went first, once too many are gone.
-    fn forget_oldest(&mut self) {
+    fn evict_oldest_removal(&mut self) {
         let gone = self.entries.iter().filter(|(_, e)| e.replica.is_none());
-        if gone.clone().count() <= PublishedReplicas::MOST_GONE {
+        if gone.clone().count() <= PublishedReplicas::MAX_REMOVED {
             return;
         }
         let oldest = gone.min_by_key(|(_, e)| e.changed);
--- a/src/direct/reader_choice.rs
+++ b/src/direct/reader_choice.rs
@@ -49,24 +49,24 @@
 impl ReaderChoice {
     /// How many entries are asked before an entry reads the platform itself:
     /// as many of its hall as it is told of.
-    pub const MOST_ASKED: usize = LEADING;
+    pub const MAX_ASKED: usize = LEADING;
 
     /// How many of a hall's entries with old news are enough to know that the
     /// platform has told the hall nothing.
-    pub const MOST_OLD: usize = 2;
+    pub const MAX_STALE: usize = 2;
 
     /// How many entries of a hall read the platform themselves where those
     /// before them have only old news. The others wait for them: if all do
     /// it, 150 entries read whole documents over the links between regions at
     /// the moment at which the platform is back, and the last have them 5 s
     /// later.
-    pub const READERS: usize = 3;
+    pub const LEADERS: usize = 3;
 
     /// How long a reader is left out after its first failure.
-    pub const FIRST_REST: Duration = Duration::from_secs(2);
+    pub const INITIAL_BACKOFF: Duration = Duration::from_secs(2);
 
     /// The longest that a reader is left out.
-    pub const LONGEST_REST: Duration = Duration::from_secs(16);
+    pub const MAX_BACKOFF: Duration = Duration::from_secs(16);
 
     /// Returns the choice of an entry.
     pub fn new(own: HallEntry) -> ReaderChoice {
@@ -92,20 +92,22 @@
         asked: &[SocketAddr],
         now: Time,
     ) -> Option<SocketAddr> {
-        let near = near(entries, &self.own.hall);
-        let reader = self.first_well(near, asked, now);
-        reader.or_else(|| self.first_well(first_of_halls(entries), asked, now))
+        let near = hall_addrs(entries, &self.own.hall);
+        let reader = self.first_available(near, asked, now);
+        reader.or_else(|| {
+            self.first_available(first_of_halls(entries), asked, now)
+        })
     }
 
     /// Returns whether an entry has failed, and not answered since.
-    pub fn doubts(&self, entry: SocketAddr) -> bool {
+    pub fn has_failed(&self, entry: SocketAddr) -> bool {
         self.failures.contains_key(&entry)
     }
 
     /// Returns the first in rank before this entry that is not left out and
     /// not asked already. Those that are silent are passed over; where
     /// several have old news, the others have none either.
-    fn first_well(
+    fn first_available(
         &self,
         mut entries: Vec<SocketAddr>,
         asked: &[SocketAddr],
@@ -119,7 +121,7 @@
             let failure = self.failures.get(&addr);
             if let Some(failure) = failure.filter(|f| f.until > now) {
                 old += usize::from(failure.alive);
-                if old >= ReaderChoice::MOST_OLD {
+                if old >= ReaderChoice::MAX_STALE {
                     return None;
                 }
                 continue;
@@ -133,7 +135,7 @@
 
     /// Notes that an entry failed to answer or had old news; returns whether
     /// it had been well until now.
-    pub fn failed(&mut self, entry: SocketAddr, now: Time) -> bool {
+    pub fn record_failure(&mut self, entry: SocketAddr, now: Time) -> bool {
         let failure = self.failures.entry(entry).or_insert(Failure {
             count: 0,
             alive: false,
@@ -141,9 +143,9 @@
             until: now,
         });
         failure.alive = false;
-        let doubled = 1 << failure.count.min(8);
-        let rest = (ReaderChoice::FIRST_REST * doubled)
-            .min(ReaderChoice::LONGEST_REST);
+        let factor = 1 << failure.count.min(8);
+        let rest = (ReaderChoice::INITIAL_BACKOFF * factor)
+            .min(ReaderChoice::MAX_BACKOFF);
         failure.count += 1;
         failure.until = now.after(rest);
         failure.count == 1
@@ -151,43 +153,43 @@
 
     /// Notes that an entry that had failed was asked again, and that another
     /// one answered before it: it is left out for a while longer.
-    pub fn passed_over(&mut self, entry: SocketAddr, now: Time) {
+    pub fn extend_backoff(&mut self, entry: SocketAddr, now: Time) {
         if let Some(failure) = self.failures.get_mut(&entry) {
-            failure.until = now.after(ReaderChoice::FIRST_REST);
+            failure.until = now.after(ReaderChoice::INITIAL_BACKOFF);
         }
     }
 
     /// Notes that an entry answered, but knows nothing new enough; returns
     /// whether it had been well until now. It is asked again soon, however
     /// often that happens: it says so as soon as it has news.
-    pub fn had_old_news(&mut self, entry: SocketAddr, now: Time) -> bool {
+    pub fn record_stale(&mut self, entry: SocketAddr, now: Time) -> bool {
         let failure = self.failures.entry(entry).or_insert(Failure {
             count: 0,
             alive: true,
             since: now,
             until: now,
         });
-        let was_well = failure.count == 0;
+        let was_healthy = failure.count == 0;
         failure.count = 1;
         failure.alive = true;
-        failure.until = now.after(ReaderChoice::FIRST_REST);
-        was_well
+        failure.until = now.after(ReaderChoice::INITIAL_BACKOFF);
+        was_healthy
     }
 
     /// Returns whether this entry is one of those of its hall that read the
     /// platform where nobody before them has news. It is not while it knows
     /// of no entry.
     pub fn leads(&self, entries: &[HallEntry]) -> bool {
-        let near = near(entries, &self.own.hall);
+        let near = hall_addrs(entries, &self.own.hall);
         let before = near.iter().filter(|addr| **addr < self.own.addr);
-        !near.is_empty() && before.count() < ReaderChoice::READERS
+        !near.is_empty() && before.count() < ReaderChoice::LEADERS
     }
 
     /// Returns the entry whose news are waited for in place of reading the
     /// platform: the first in rank that is alive. There is none if this entry
     /// leads, or if its hall has so few entries, `leading` of them, that all
     /// may read.
-    pub fn awaited(
+    pub fn reader_to_await(
         &self,
         entries: &[HallEntry],
         leading: usize,
@@ -195,17 +197,23 @@
         if self.leads(entries) || leading < LEADING {
             return None;
         }
-        self.first_alive(near(entries, &self.own.hall))
+        self.responsive_among(hall_addrs(entries, &self.own.hall))
     }
 
     /// Returns the entry that is asked again beside a reading of the platform
     /// that may be in vain: it answered when it had old news.
-    pub fn alive(&self, entries: &[HallEntry]) -> Option<SocketAddr> {
-        let near = self.first_alive(near(entries, &self.own.hall));
-        near.or_else(|| self.first_alive(first_of_halls(entries)))
+    pub fn first_responsive(
+        &self,
+        entries: &[HallEntry],
+    ) -> Option<SocketAddr> {
+        let near = self.responsive_among(hall_addrs(entries, &self.own.hall));
+        near.or_else(|| self.responsive_among(first_of_halls(entries)))
     }
 
-    fn first_alive(&self, entries: Vec<SocketAddr>) -> Option<SocketAddr> {
+    fn responsive_among(
+        &self,
+        entries: Vec<SocketAddr>,
+    ) -> Option<SocketAddr> {
         let before = entries.into_iter().filter(|a| *a < self.own.addr);
         let alive = before.filter(|addr| {
             self.failures.get(addr).is_some_and(|failure| failure.alive)
@@ -215,7 +223,7 @@
 
     /// Notes that an entry answered with news; returns for how long it had
     /// failed before, if it had.
-    pub fn answered(
+    pub fn record_success(
         &mut self,
         entry: SocketAddr,
         now: Time,
@@ -226,7 +234,7 @@
 }
 
 /// Returns the entries of a hall.
-fn near(entries: &[HallEntry], hall: &str) -> Vec<SocketAddr> {
+fn hall_addrs(entries: &[HallEntry], hall: &str) -> Vec<SocketAddr> {
     let near = entries.iter().filter(|e| &*e.hall == hall);
     near.map(|e| e.addr).collect()
 }
--- a/src/direct/region_tests.rs
+++ b/src/direct/region_tests.rs
@@ -14,34 +14,38 @@
 fn where_both_name_regions_both_bind() {
     let route = regions(&["east", "north"]);
     let workspace = regions(&["north", "west"]);
-    let both = route.and(&workspace);
+    let both = route.intersection(&workspace);
     assert!(both.allows(Some("north")));
     for region in ["east", "west", "south"] {
         assert!(!both.allows(Some(region)), "{region}");
     }
-    let none = regions(&["east"]).and(&regions(&["west"]));
-    assert!(none.is_bound() && !none.allows(Some("east")));
+    let none = regions(&["east"]).intersection(&regions(&["west"]));
+    assert!(none.is_restricted() && !none.allows(Some("east")));
     let any = AllowedRegions::default();
-    assert_eq!(any.and(&route), route);
-    assert_eq!(route.and(&any), route);
+    assert_eq!(any.intersection(&route), route);
+    assert_eq!(route.intersection(&any), route);
 }
 
 #[test]
 fn without_a_bound_any_region_will_do_and_with_one_only_known_ones() {
     let any = regions(&[]);
-    assert!(!any.is_bound() && any.allows(None) && any.allows(Some("east")));
+    assert!(
+        !any.is_restricted() && any.allows(None) && any.allows(Some("east"))
+    );
     assert!(!regions(&["east"]).allows(None));
     let halls: HallRegions =
         [(Arc::from("hall-a"), Arc::from("east"))].into_iter().collect();
     assert_eq!(halls.region("hall-a"), Some("east"));
-    assert_eq!((halls.region("hall-b"), halls.halls()), (None, Some(1)));
+    assert_eq!((halls.region("hall-b"), halls.hall_count()), (None, Some(1)));
 }
 
 #[test]
 fn an_evacuated_hall_is_emptied_over_a_part_of_the_bound() {
     let bound = EvacuationBound::new(Duration::from_secs(5));
     let since = Time::from_millis(10_000);
-    let room = |ms: u64| bound.room(since, Time::from_millis(10_000 + ms));
+    let room = |ms: u64| {
+        bound.capacity_fraction(since, Time::from_millis(10_000 + ms))
+    };
     assert_eq!(room(0), 1.0);
     assert!((0.4..0.6).contains(&room(1_500)), "{}", room(1_500));
     // What is sent last has time to arrive.
@@ -55,10 +59,10 @@
     assert!(evacuations.begin("a".into(), Time::from_millis(5)));
     assert!(!evacuations.begin("a".into(), Time::from_millis(9)));
     assert_eq!(evacuations.since("a"), Some(Time::from_millis(5)));
-    assert!(evacuations.are_in(&["a".into()]));
-    assert!(!evacuations.are_in(&["a".into(), "b".into()]));
+    assert!(evacuations.matches(&["a".into()]));
+    assert!(!evacuations.matches(&["a".into(), "b".into()]));
     assert!(evacuations.end("a") && !evacuations.end("a"));
-    assert!(evacuations.are_in(&[]));
+    assert!(evacuations.matches(&[]));
 }
 
 proptest! {
@@ -68,7 +72,7 @@
     ) {
         let bound = EvacuationBound::new(Duration::from_millis(within));
         let since = Time::from_millis(7);
-        let room = |ms: u64| bound.room(since, Time::from_millis(7 + ms));
+        let room = |ms: u64| bound.capacity_fraction(since, Time::from_millis(7 + ms));
         prop_assert!(room(a.min(b)) >= room(a.max(b)));
         prop_assert_eq!(room(within), 0.0);
     }
--- a/src/direct/regions.rs
+++ b/src/direct/regions.rs
@@ -22,7 +22,7 @@
 
     /// Returns the regions that both allow; there may be none.
     #[must_use]
-    pub fn and(&self, other: &AllowedRegions) -> AllowedRegions {
+    pub fn intersection(&self, other: &AllowedRegions) -> AllowedRegions {
         let (own, theirs) = match (&self.0, &other.0) {
             (Some(own), Some(theirs)) => (own, theirs),
             (Some(_), None) => return self.clone(),
@@ -45,7 +45,7 @@
     }
 
     /// Returns whether there is a bound at all.
-    pub const fn is_bound(&self) -> bool {
+    pub const fn is_restricted(&self) -> bool {
         self.0.is_some()
     }
 }
@@ -62,7 +62,7 @@
     }
 
     /// Returns how many halls there are, if they are known.
-    pub fn halls(&self) -> Option<usize> {
+    pub fn hall_count(&self) -> Option<usize> {
         (!self.0.is_empty()).then_some(self.0.len())
     }
 }
--- a/src/direct/come_back.rs
+++ b/src/direct/retry_after.rs
@@ -10,12 +10,12 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Shortage {
     /// All replicas that could serve it are full.
-    NoRoom,
+    NoCapacity,
     /// No replica could serve it, with room or without.
     NoReplica,
     /// No replica could serve it and some are resting. Holds the shortest
     /// remaining `Retry-After`.
-    Resting(Duration),
+    RetryAfter(Duration),
     /// The replicas that were asked declined.
     Declined,
     /// No connection came up to the replicas that were asked.
@@ -25,20 +25,20 @@
 impl Shortage {
     /// The maximum `Retry-After` of replicas that is passed on to callers,
     /// since other replicas may become available before a longer one expires.
-    const MOST_RETRY_AFTER: Duration = Duration::from_secs(30);
+    const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
     /// Returns when a caller may come back. `draw` is between 0 and 1.
-    pub fn come_back(self, draw: f64) -> Duration {
+    pub fn retry_after(self, draw: f64) -> Duration {
         let (least, most) = match self {
             // Room comes as requests end, each of which lasts about a
             // second; who declines has just been found full or changing.
-            Shortage::NoRoom | Shortage::Declined => (1_000, 2_000),
+            Shortage::NoCapacity | Shortage::Declined => (1_000, 2_000),
             // Two that are gone at a time are seldom the only ones.
             Shortage::Unreachable => (2_000, 3_000),
             // Weights have to come or processes to start: that takes seconds.
             Shortage::NoReplica => (2_500, 3_500),
-            Shortage::Resting(left) => {
-                let least = left.min(Shortage::MOST_RETRY_AFTER);
+            Shortage::RetryAfter(left) => {
+                let least = left.min(Shortage::MAX_RETRY_AFTER);
                 let least = least.as_millis() as u64;
                 (least, least + 1_000)
             }
--- a/src/direct/retry_share.rs
+++ b/src/direct/retry_share.rs
@@ -23,17 +23,17 @@
 impl RetryShare {
     /// The part of the bound's ratio that is spent; the rest covers the
     /// edges of windows that do not fall together.
-    const SAFETY: f64 = 0.8;
+    const RATIO_MARGIN: f64 = 0.8;
 
     /// The part of the fixed allowance that is spent: entries that have just
     /// begun are not counted yet.
-    const ALLOWED: f64 = 0.8;
+    const ALLOWANCE_MARGIN: f64 = 0.8;
 
     /// The fewest entries that are reckoned with, also while their number is
     /// not known: an entry that has just begun has seen few requests, and
     /// retries no more than these. A larger part would send a request to more
     /// replicas that end by themselves, as if it ended them.
-    const FEWEST: usize = 40;
+    const MIN_ENTRIES: usize = 40;
 
     /// Returns the share of a bound: `ratio` of the requests and `minimum`
     /// retries in each `window`, over all of the fleet's `entries`.
@@ -44,32 +44,33 @@
         entries: Option<usize>,
     ) -> RetryShare {
         let mut share = RetryShare::default();
-        share.set_bound(window, ratio, minimum, entries);
+        share.set_limits(window, ratio, minimum, entries);
         share
     }
 
     /// Keeps another bound from now on; what was spent stays spent.
-    pub fn set_bound(
+    pub fn set_limits(
         &mut self,
         window: Duration,
         ratio: f64,
         minimum: f64,
         entries: Option<usize>,
     ) {
-        let entries = entries.unwrap_or(0).max(RetryShare::FEWEST);
+        let entries = entries.unwrap_or(0).max(RetryShare::MIN_ENTRIES);
         self.window = window;
-        self.ratio = ratio * RetryShare::SAFETY;
-        self.allowance = minimum * RetryShare::ALLOWED / entries as f64;
+        self.ratio = ratio * RetryShare::RATIO_MARGIN;
+        self.allowance =
+            minimum * RetryShare::ALLOWANCE_MARGIN / entries as f64;
     }
 
     /// Counts a request's first attempt.
-    pub fn request(&mut self, now: Time) {
+    pub fn record_request(&mut self, now: Time) {
         self.expire(now);
         self.requests.push_back(now);
     }
 
     /// Spends a retry, if the share has one left.
-    pub fn spend(&mut self, now: Time) -> bool {
+    pub fn try_spend(&mut self, now: Time) -> bool {
         self.expire(now);
         let most = self.requests.len() as f64 * self.ratio + self.allowance;
         if self.retries.len() as f64 + 1.0 > most {
--- a/src/direct/rollout.rs
+++ b/src/direct/rollout.rs
@@ -12,22 +12,22 @@
 
 /// One replica's turn in a change to a version.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Rollout {
+pub struct RolloutTurn {
     turn: usize,
     turns: usize,
 }
 
-impl Rollout {
+impl RolloutTurn {
     /// The most turns that replicas of one hall are dealt into.
-    const MOST_TURNS: usize = 8;
+    const MAX_TURNS: usize = 8;
 
     /// Returns the turn of `me` among the replicas of its hall that have to
     /// change to the version named by `subject`.
-    pub fn new(subject: &[u8], members: &[Arc<str>], me: &str) -> Rollout {
+    pub fn new(subject: &[u8], members: &[Arc<str>], me: &str) -> RolloutTurn {
         let order = rank::order(subject, members);
         let place = order.iter().position(|m| &**m == me).unwrap_or(0);
-        let turns = order.len().clamp(1, Rollout::MOST_TURNS);
-        Rollout { turn: place % turns, turns }
+        let turns = order.len().clamp(1, RolloutTurn::MAX_TURNS);
+        RolloutTurn { turn: place % turns, turns }
     }
 
     /// Returns when the replica should get nothing new: the first turn at
--- a/src/direct/route_table.rs
+++ b/src/direct/route_table.rs
@@ -7,7 +7,7 @@
 
 use serde::Deserialize;
 
-use super::balance::Pace;
+use super::balance::LatencyModel;
 use super::{AllowedRegions, Route};
 use crate::{Code, Error};
 
@@ -38,7 +38,7 @@
 
 impl Engine {
     /// Returns how long a replica of this kind takes.
-    pub fn pace(&self, slots: u32) -> Pace {
+    pub fn latency_model(&self, slots: u32) -> LatencyModel {
         let tokens_per_ms = self.read_per_s / 1000.0;
         let reading = if tokens_per_ms > 0.0 {
             self.usual_prompt / tokens_per_ms
@@ -47,7 +47,7 @@
         };
         let writing =
             self.usual_answer * self.step_ms / f64::from(slots.max(1));
-        Pace {
+        LatencyModel {
             slots,
             tokens_per_ms,
             usual_prompt: self.usual_prompt,
@@ -135,7 +135,7 @@
     hosts: HashMap<Arc<str>, Vec<Arc<Route>>>,
     services: HashMap<Arc<str>, Service>,
     keys: HashMap<Arc<str>, Arc<Workspace>>,
-    guarded: bool,
+    requires_keys: bool,
     origin: Option<Origin>,
 }
 
@@ -150,7 +150,7 @@
     pub fn new(parts: RouteTableParts) -> Result<RouteTable, Error> {
         let mut table = RouteTable {
             revision: parts.revision,
-            guarded: !parts.workspaces.is_empty(),
+            requires_keys: !parts.workspaces.is_empty(),
             origin: parts.origin,
             ..RouteTable::default()
         };
@@ -158,7 +158,7 @@
             table.services.insert(Arc::clone(&service.name), service);
         }
         for route in parts.routes {
-            table.check(&route)?;
+            table.validate(&route)?;
             let host = table.hosts.entry(Arc::clone(&route.host)).or_default();
             host.push(Arc::new(route));
         }
@@ -174,7 +174,7 @@
         Ok(table)
     }
 
-    fn check(&self, route: &Route) -> Result<(), Error> {
+    fn validate(&self, route: &Route) -> Result<(), Error> {
         let prefix = &route.prefix;
         if !prefix.starts_with('/') || !prefix.ends_with('/') {
             let allowed = "a path that begins and ends with a slash";
@@ -207,8 +207,8 @@
     }
 
     /// Returns whether requests need a key where their route is not public.
-    pub const fn guarded(&self) -> bool {
-        self.guarded
+    pub const fn requires_keys(&self) -> bool {
+        self.requires_keys
     }
 
     /// Returns the workspace that holds a key.
@@ -222,7 +222,7 @@
     }
 
     /// Returns the kind of engine that serves a model.
-    pub fn engine_of(&self, model: &str) -> Option<Engine> {
+    pub fn engine_for_model(&self, model: &str) -> Option<Engine> {
         let mut services = self.services.values();
         let found = services.find(|s| s.models.iter().any(|m| &**m == model));
         found.and_then(|s| s.engine)
--- a/src/direct/sharing_tests.rs
+++ b/src/direct/sharing_tests.rs
@@ -37,7 +37,7 @@
 
 #[test]
 fn nothing_is_handed_on_before_anything_was_read() {
-    assert_eq!(PublishedReplicas::default().since(None), None);
+    assert_eq!(PublishedReplicas::default().changes_since(None), None);
 }
 
 #[test]
@@ -47,15 +47,15 @@
     published.set(replica(1, 4), 11);
     published.set(replica(1, 2), 12);
     published.remove(Arc::from("i-2"), 12);
-    published.reach(12);
-    let changes = published.since(Some(10)).unwrap();
+    published.advance_to(12);
+    let changes = published.changes_since(Some(10)).unwrap();
     assert!(!changes.whole);
     assert_eq!(changes.at, 12);
     assert_eq!(changes.listed, [replica(1, 2)]);
     assert_eq!(changes.gone, [Arc::from("i-2")]);
     assert!(published.changed_after(11));
     assert!(!published.changed_after(12));
-    let nothing = published.since(Some(12)).unwrap();
+    let nothing = published.changes_since(Some(12)).unwrap();
     assert!(nothing.listed.is_empty() && nothing.gone.is_empty());
 }
 
@@ -63,7 +63,7 @@
 fn what_is_older_than_the_first_list_gets_all_of_it() {
     let mut published = PublishedReplicas::default();
     published.replace(vec![replica(1, 8)], 10);
-    let changes = published.since(Some(9)).unwrap();
+    let changes = published.changes_since(Some(9)).unwrap();
     assert!(changes.whole);
     assert_eq!(changes.listed, [replica(1, 8)]);
     assert!(published.changed_after(9));
@@ -74,7 +74,7 @@
     let mut published = PublishedReplicas::default();
     published.replace(vec![replica(1, 8), replica(2, 8)], 10);
     published.replace(vec![replica(2, 8)], 20);
-    let changes = published.since(Some(10)).unwrap();
+    let changes = published.changes_since(Some(10)).unwrap();
     assert!(!changes.whole && changes.listed.is_empty());
     assert_eq!(changes.gone, [Arc::from("i-1")]);
 }
@@ -88,9 +88,9 @@
         let incarnation = Arc::from(format!("i-{number}"));
         published.remove(incarnation, u64::from(number) + 1);
     }
-    published.reach(1_101);
-    assert!(published.since(Some(2)).unwrap().whole);
-    let late = published.since(Some(1_000)).unwrap();
+    published.advance_to(1_101);
+    assert!(published.changes_since(Some(2)).unwrap().whole);
+    let late = published.changes_since(Some(1_000)).unwrap();
     assert!(!late.whole);
     assert_eq!(late.gone.len(), 101);
 }
@@ -114,11 +114,11 @@
             } else {
                 published.set(replica(number, slots), revision);
             }
-            published.reach(revision);
+            published.advance_to(revision);
             if !asks {
                 continue;
             }
-            let changes = published.since(after).unwrap();
+            let changes = published.changes_since(after).unwrap();
             if changes.whole {
                 known.clear();
             }
@@ -129,7 +129,7 @@
                 known.remove(&incarnation);
             }
             after = Some(changes.at);
-            let all = published.since(None).unwrap().listed;
+            let all = published.changes_since(None).unwrap().listed;
             let believed: Vec<Replica> = known.values().cloned().collect();
             prop_assert_eq!(believed, all);
         }
@@ -165,9 +165,9 @@
     assert_eq!(choice(far(21, "south")), Some(entry(1)));
     // Cut off from the first hall, it asks the next before the platform.
     let mut south = ReaderChoice::new(far(21, "south"));
-    south.failed(entry(1), at(0));
+    south.record_failure(entry(1), at(0));
     assert_eq!(south.choose(&entries, at(0)), Some(entry(11)));
-    south.failed(entry(11), at(0));
+    south.record_failure(entry(11), at(0));
     assert_eq!(south.choose(&entries, at(0)), None);
 }
 
@@ -182,21 +182,21 @@
 fn silent_readers_are_passed_over_for_the_next_in_rank() {
     let entries = [near(1), near(2), near(3), near(4)];
     let mut choice = ReaderChoice::new(near(4));
-    assert!(choice.failed(entry(1), at(0)));
+    assert!(choice.record_failure(entry(1), at(0)));
     assert_eq!(choice.choose(&entries, at(0)), Some(entry(2)));
-    choice.failed(entry(2), at(0));
+    choice.record_failure(entry(2), at(0));
     // If it did not ask the third, all of a hall would read the platform.
     assert_eq!(choice.choose(&entries, at(0)), Some(entry(3)));
-    choice.failed(entry(3), at(0));
+    choice.record_failure(entry(3), at(0));
     assert_eq!(choice.choose(&entries, at(0)), None);
     // It tries them again later, and ever later while they fail.
     assert_eq!(choice.choose(&entries, at(2_000)), Some(entry(1)));
-    assert!(!choice.failed(entry(1), at(2_000)));
+    assert!(!choice.record_failure(entry(1), at(2_000)));
     assert_eq!(choice.choose(&entries, at(4_000)), Some(entry(2)));
     assert_eq!(choice.choose(&entries, at(6_000)), Some(entry(1)));
-    let failed = choice.answered(entry(1), at(6_000));
+    let failed = choice.record_success(entry(1), at(6_000));
     assert_eq!(failed, Some(Duration::from_secs(6)));
-    assert!(choice.failed(entry(1), at(6_000)));
+    assert!(choice.record_failure(entry(1), at(6_000)));
     assert_eq!(choice.choose(&entries, at(8_000)), Some(entry(1)));
 }
 
@@ -211,9 +211,9 @@
     assert_eq!(next(&choice, &asked), Some(entry(2)));
     assert_eq!(next(&choice, &[entry(1), entry(2)]), None);
     // Two with old news are enough, whoever else is being asked.
-    choice.had_old_news(entry(1), at(0));
+    choice.record_stale(entry(1), at(0));
     assert_eq!(next(&choice, &[]), Some(entry(2)));
-    choice.had_old_news(entry(2), at(0));
+    choice.record_stale(entry(2), at(0));
     assert_eq!(next(&choice, &[]), None);
 }
 
@@ -221,14 +221,14 @@
 fn one_in_doubt_that_another_outruns_is_left_out_for_longer() {
     let entries = [near(1), near(2), near(3)];
     let mut choice = ReaderChoice::new(near(3));
-    choice.failed(entry(1), at(0));
-    assert!(choice.doubts(entry(1)) && !choice.doubts(entry(2)));
+    choice.record_failure(entry(1), at(0));
+    assert!(choice.has_failed(entry(1)) && !choice.has_failed(entry(2)));
     assert_eq!(choice.choose(&entries, at(2_000)), Some(entry(1)));
-    choice.passed_over(entry(1), at(2_000));
+    choice.extend_backoff(entry(1), at(2_000));
     assert_eq!(choice.choose(&entries, at(3_999)), Some(entry(2)));
     assert_eq!(choice.choose(&entries, at(4_000)), Some(entry(1)));
-    choice.answered(entry(1), at(4_000));
-    choice.passed_over(entry(1), at(4_000));
+    choice.record_success(entry(1), at(4_000));
+    choice.extend_backoff(entry(1), at(4_000));
     assert_eq!(choice.choose(&entries, at(4_000)), Some(entry(1)));
 }
 
@@ -238,28 +238,28 @@
     let mut last = ReaderChoice::new(near(5));
     let mut third = ReaderChoice::new(near(3));
     for choice in [&mut last, &mut third] {
-        assert!(choice.had_old_news(entry(1), at(0)));
-        assert!(choice.had_old_news(entry(2), at(0)));
+        assert!(choice.record_stale(entry(1), at(0)));
+        assert!(choice.record_stale(entry(2), at(0)));
         assert_eq!(choice.choose(&entries, at(0)), None);
     }
-    assert_eq!(last.awaited(&entries, 5), Some(entry(1)));
-    assert_eq!(third.awaited(&entries, 5), None);
-    assert_eq!(third.alive(&entries), Some(entry(1)));
+    assert_eq!(last.reader_to_await(&entries, 5), Some(entry(1)));
+    assert_eq!(third.reader_to_await(&entries, 5), None);
+    assert_eq!(third.first_responsive(&entries), Some(entry(1)));
     assert!(third.leads(&entries) && !last.leads(&entries));
     // Where a hall has few entries all read.
-    assert_eq!(last.awaited(&entries, 4), None);
+    assert_eq!(last.reader_to_await(&entries, 4), None);
     // Asked again soon, after however long a time without the platform.
     for round in 1..10 {
         let now = at(round * 2_000);
         assert_eq!(last.choose(&entries, now), Some(entry(1)));
-        assert!(!last.had_old_news(entry(1), now));
-        assert!(!last.had_old_news(entry(2), now));
+        assert!(!last.record_stale(entry(1), now));
+        assert!(!last.record_stale(entry(2), now));
     }
     // One that is dead is not waited for.
-    last.failed(entry(1), at(20_000));
-    assert_eq!(last.awaited(&entries, 5), Some(entry(2)));
-    last.failed(entry(2), at(20_000));
-    assert_eq!(last.awaited(&entries, 5), None);
+    last.record_failure(entry(1), at(20_000));
+    assert_eq!(last.reader_to_await(&entries, 5), Some(entry(2)));
+    last.record_failure(entry(2), at(20_000));
+    assert_eq!(last.reader_to_await(&entries, 5), None);
 }
 
 #[test]
--- a/src/direct/tests.rs
+++ b/src/direct/tests.rs
@@ -3,10 +3,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::balance::{Candidate, Load, Pace, choose};
+use super::balance::{Candidate, LatencyModel, Load, choose};
 use super::{
     AttemptResult, EventSplitter, LayerRange, NextStep, Repeat, RetryShare,
-    Rollout, RouteTable, RouteTableParts, VersionTarget, VersionTargets,
+    RolloutTurn, RouteTable, RouteTableParts, VersionTarget, VersionTargets,
     next_step,
 };
 use crate::{Code, Time};
@@ -22,17 +22,17 @@
 #[test]
 fn a_version_never_goes_back() {
     let mut targets = VersionTargets::default();
-    assert!(targets.learn(&target(2), at(0)));
-    assert!(!targets.learn(&target(1), at(5)));
-    assert!(!targets.learn(&target(2), at(5)));
+    assert!(targets.record(&target(2), at(0)));
+    assert!(!targets.record(&target(1), at(5)));
+    assert!(!targets.record(&target(2), at(5)));
     assert_eq!(targets.version("matcher"), Some(2));
 }
 
 #[test]
 fn a_version_is_outdated_from_the_first_newer_one_on() {
     let mut targets = VersionTargets::default();
-    targets.learn(&target(2), at(1_000));
-    targets.learn(&target(3), at(3_000));
+    targets.record(&target(2), at(1_000));
+    targets.record(&target(3), at(3_000));
     // Each version is judged from its own naming: a later one gives an old
     // replica no more time.
     assert_eq!(targets.outdated_since("matcher", 1), Some(at(1_000)));
@@ -80,7 +80,7 @@
 #[test]
 fn keys_name_workspaces() {
     let table = RouteTable::new(parts()).unwrap();
-    assert!(table.guarded());
+    assert!(table.requires_keys());
     assert_eq!(&*table.workspace("k2").unwrap().name, "desk");
     assert!(table.workspace("k3").is_none());
 }
@@ -116,22 +116,22 @@
 
 #[test]
 fn what_follows_after_an_attempt() {
-    use AttemptResult::{Broke, Declined, Silent, Unsent};
+    use AttemptResult::{Declined, Interrupted, NoResponse, Unsent};
     use NextStep::{Fail, Refuse, Retry};
     use Repeat::{Freely, Never, Resume};
     for (result, repeat, ran, may_retry, want) in [
         (Unsent, Never, false, true, Retry),
         (Declined, Never, false, true, Retry),
-        (Silent, Never, false, true, Fail),
-        (Silent, Freely, false, true, Retry),
-        (Silent, Resume, false, true, Retry),
-        (Broke, Resume, false, true, Retry),
-        (Broke, Never, false, true, Fail),
+        (NoResponse, Never, false, true, Fail),
+        (NoResponse, Freely, false, true, Retry),
+        (NoResponse, Resume, false, true, Retry),
+        (Interrupted, Resume, false, true, Retry),
+        (Interrupted, Never, false, true, Fail),
         (Unsent, Never, false, false, Refuse),
         (Declined, Freely, false, false, Refuse),
         // An earlier attempt may have run: "did not run" would be a lie.
         (Declined, Freely, true, false, Fail),
-        (Silent, Freely, false, false, Fail),
+        (NoResponse, Freely, false, false, Fail),
     ] {
         let got = next_step(result, repeat, ran, may_retry);
         assert_eq!(got, want, "{result:?} {repeat:?} {ran} {may_retry}");
@@ -151,9 +151,9 @@
         let mut share = RetryShare::new(window, ratio, minimum, Some(entries));
         for step in 0..requests {
             let now = at(step * 10_000 / requests);
-            share.request(now);
+            share.record_request(now);
             all += 1;
-            spent += u32::from(share.spend(now));
+            spent += u32::from(share.try_spend(now));
         }
     }
     (f64::from(spent), f64::from(all) * ratio + minimum)
@@ -182,13 +182,13 @@
 fn retries_come_back_as_the_window_slides() {
     let window = Duration::from_secs(10);
     let mut share = RetryShare::new(window, 0.0, 100.0, Some(10));
-    assert!(share.spend(at(0)));
-    assert!(share.spend(at(0)));
-    assert!(!share.spend(at(9_000)));
-    assert!(share.spend(at(10_001)));
+    assert!(share.try_spend(at(0)));
+    assert!(share.try_spend(at(0)));
+    assert!(!share.try_spend(at(9_000)));
+    assert!(share.try_spend(at(10_001)));
     // More entries leave each one less.
-    share.set_bound(window, 0.0, 100.0, Some(80));
-    assert!(!share.spend(at(10_002)));
+    share.set_limits(window, 0.0, 100.0, Some(80));
+    assert!(!share.try_spend(at(10_002)));
 }
 
 #[test]
@@ -220,7 +220,7 @@
     let members = members(6);
     let mut pauses = Vec::new();
     for me in &members {
-        let rollout = Rollout::new(b"matcher@2", &members, me);
+        let rollout = RolloutTurn::new(b"matcher@2", &members, me);
         pauses.push(rollout.pauses_at(at(2_000), at(7_000)).as_millis());
     }
     pauses.sort_unstable();
@@ -231,7 +231,7 @@
 fn a_turn_never_comes_after_the_bound() {
     let members = members(20);
     for me in &members {
-        let rollout = Rollout::new(b"matcher@2", &members, me);
+        let rollout = RolloutTurn::new(b"matcher@2", &members, me);
         // The chunks would come later than the bound allows.
         let pause = rollout.pauses_at(at(9_000), at(7_000));
         assert_eq!(pause, at(7_000));
@@ -239,7 +239,7 @@
 }
 
 fn candidate(load: Load) -> Candidate {
-    let pace = Pace {
+    let latency = LatencyModel {
         entries: 1.0,
         slots: 16,
         tokens_per_ms: 20.0,
@@ -247,13 +247,13 @@
         slot_ms: 100.0,
     };
     Candidate {
-        most_ms: 400.0,
+        max_backlog_ms: 400.0,
         load,
-        pace,
+        latency,
         near: true,
         queue: 2,
         offset: 0.0,
-        delay_ms: 0.0,
+        link_delay_ms: 0.0,
         slowdown: 1.0,
     }
 }
@@ -278,10 +278,10 @@
 #[test]
 fn a_report_counts_without_the_entrys_own_requests() {
     let own = Load { own_pending: 2, own_running: 3, ..Load::default() };
-    let load = own.reported(5, 4);
+    let load = own.with_report(5, 4);
     assert_eq!((load.others_pending, load.others_running), (3, 1));
     assert_eq!(load.total(), 9);
-    assert_eq!(load.unreported().total(), 5);
+    assert_eq!(load.without_report().total(), 5);
 }
 
 #[test]
@@ -310,20 +310,23 @@
 #[test]
 fn a_presumed_age_gives_way_to_a_witness_and_to_nobody_else() {
     let mut targets = VersionTargets::default();
-    targets.learn(&target(2), at(9_000));
-    targets.presume(&target(3), at(1_000));
-    assert!(targets.any_presumed());
-    assert!(!targets.refine(&target(2), at(9_500)), "it was there itself");
-    assert!(targets.refine(&target(3), at(8_000)));
-    assert!(!targets.refine(&target(3), at(8_500)));
-    assert!(!targets.any_presumed());
+    targets.record(&target(2), at(9_000));
+    targets.record_estimate(&target(3), at(1_000));
+    assert!(targets.has_estimates());
+    assert!(
+        !targets.replace_estimate(&target(2), at(9_500)),
+        "it was there itself"
+    );
+    assert!(targets.replace_estimate(&target(3), at(8_000)));
+    assert!(!targets.replace_estimate(&target(3), at(8_500)));
+    assert!(!targets.has_estimates());
     assert_eq!(targets.outdated_since("matcher", 2), Some(at(8_000)));
 }
 
 #[test]
 fn a_replica_behind_a_full_link_is_left_to_others() {
     let mut delayed = candidate(Load::default());
-    delayed.delay_ms = 400.0;
+    delayed.link_delay_ms = 400.0;
     let busy = Load { own_running: 12, ..Load::default() };
     assert_eq!(choose(&[delayed, candidate(busy)]), Some(1));
 }
--- a/src/direct/version_target.rs
+++ b/src/direct/version_target.rs
@@ -15,11 +15,11 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Named {
+struct TargetedVersion {
     version: u64,
     since: Time,
-    /// Whether `since` is only presumed.
-    presumed: bool,
+    /// Whether `since` is only estimated.
+    estimated: bool,
 }
 
 /// The newest versions that a process has learned of. A version never goes
@@ -27,48 +27,56 @@
 #[derive(Clone, Debug, Default)]
 pub struct VersionTargets {
     /// Of each model, in the order in which they were named.
-    named: HashMap<Arc<str>, Vec<Named>>,
+    named: HashMap<Arc<str>, Vec<TargetedVersion>>,
 }
 
 impl VersionTargets {
     /// The most versions of a model that are remembered; the older ones were
     /// outdated long ago.
-    const MOST_REMEMBERED: usize = 16;
+    const MAX_VERSIONS: usize = 16;
 
     /// Takes note of a version named at `since`; returns whether it is news.
-    pub fn learn(&mut self, target: &VersionTarget, since: Time) -> bool {
+    pub fn record(&mut self, target: &VersionTarget, since: Time) -> bool {
         self.add(target, since, false)
     }
 
-    /// Takes note of a version of which it is only presumed that it was named
+    /// Takes note of a version of which it is only estimated that it was named
     /// at `since`; returns whether it is news.
-    pub fn presume(&mut self, target: &VersionTarget, since: Time) -> bool {
+    pub fn record_estimate(
+        &mut self,
+        target: &VersionTarget,
+        since: Time,
+    ) -> bool {
         self.add(target, since, true)
     }
 
     /// Takes over from a process that was there when a version was named.
     /// Returns whether that changes anything.
-    pub fn refine(&mut self, target: &VersionTarget, since: Time) -> bool {
+    pub fn replace_estimate(
+        &mut self,
+        target: &VersionTarget,
+        since: Time,
+    ) -> bool {
         let Some(named) = self.named.get_mut(&target.model) else {
             return false;
         };
         let found = named.iter_mut().find(|n| n.version == target.version);
-        let Some(found) = found.filter(|n| n.presumed) else { return false };
+        let Some(found) = found.filter(|n| n.estimated) else { return false };
         found.since = since;
-        found.presumed = false;
+        found.estimated = false;
         true
     }
 
-    /// Returns whether the age of any version is only presumed.
-    pub fn any_presumed(&self) -> bool {
-        self.named.values().flatten().any(|n| n.presumed)
+    /// Returns whether the age of any version is only estimated.
+    pub fn has_estimates(&self) -> bool {
+        self.named.values().flatten().any(|n| n.estimated)
     }
 
     /// Returns all versions named, with when where that is known.
     pub fn all(&self) -> impl Iterator<Item = (&Arc<str>, u64, Option<Time>)> {
         self.named.iter().flat_map(|(model, named)| {
             named.iter().map(move |n| {
-                (model, n.version, (!n.presumed).then_some(n.since))
+                (model, n.version, (!n.estimated).then_some(n.since))
             })
         })
     }
@@ -77,16 +85,20 @@
         &mut self,
         target: &VersionTarget,
         since: Time,
-        presumed: bool,
+        estimated: bool,
     ) -> bool {
         let named = self.named.entry(Arc::clone(&target.model)).or_default();
         if named.last().is_some_and(|n| n.version >= target.version) {
             return false;
         }
-        if named.len() >= VersionTargets::MOST_REMEMBERED {
+        if named.len() >= VersionTargets::MAX_VERSIONS {
             named.remove(0);
         }
-        named.push(Named { version: target.version, since, presumed });
+        named.push(TargetedVersion {
+            version: target.version,
+            since,
+            estimated,
+        });
         true
     }
 
@@ -101,7 +113,7 @@
     }
 
     /// Returns when a version of a model was named.
-    pub fn named_at(&self, model: &str, version: u64) -> Option<Time> {
+    pub fn targeted_at(&self, model: &str, version: u64) -> Option<Time> {
         let named = self.named.get(model)?;
         let found = named.iter().find(|n| n.version == version);
         found.map(|n| n.since)
--- a/src/placing/load_tests.rs
+++ b/src/placing/load_tests.rs
@@ -13,7 +13,7 @@
 use super::{PlaceKey, PlaceTable};
 use crate::Time;
 use crate::direct::Contention;
-use crate::direct::balance::{Candidate, Load, Pace, choose};
+use crate::direct::balance::{Candidate, LatencyModel, Load, choose};
 
 /// Engines of the hall, and what each takes at a time.
 const ENGINES: usize = 16;
@@ -54,7 +54,7 @@
     }
 
     fn choose(&mut self, tokens: u32) -> Option<usize> {
-        let pace = Pace {
+        let latency = LatencyModel {
             slots: SLOTS,
             tokens_per_ms: TOKENS_PER_MS,
             usual_prompt: PROMPT,
@@ -64,13 +64,13 @@
         let candidates: Vec<Candidate> = (0..ENGINES)
             .map(|i| Candidate {
                 load: self.loads[i],
-                pace,
+                latency,
                 near: true,
                 queue: 0,
                 offset: self.offsets[i],
-                delay_ms: 0.0,
+                link_delay_ms: 0.0,
                 slowdown: 1.0,
-                most_ms: OBJECTIVE_MS as f64 / 2.0,
+                max_backlog_ms: OBJECTIVE_MS as f64 / 2.0,
             })
             .collect();
         let chosen = choose(&candidates)?;
@@ -92,8 +92,8 @@
     fn report(&mut self, engine: usize, pending: u32, running: u32) {
         let load = &mut self.loads[engine];
         let own = load.own();
-        *load = load.reported(pending, running);
-        self.contention.note(own, pending + running);
+        *load = load.with_report(pending, running);
+        self.contention.record_report(own, pending + running);
     }
 }
 
--- a/src/placing/urgency_tests.rs
+++ b/src/placing/urgency_tests.rs
@@ -10,7 +10,7 @@
 use super::{Need, Urgency};
 use crate::Time;
 use crate::direct::AllowedRegions;
-use crate::direct::balance::{Candidate, Load, Pace, choose};
+use crate::direct::balance::{Candidate, LatencyModel, Load, choose};
 use crate::poison::Suspicion;
 
 const SERVICE: &str = "pool";
@@ -47,8 +47,8 @@
     }
 }
 
-fn candidate(load: Load, most_ms: f64) -> Candidate {
-    let pace = Pace {
+fn candidate(load: Load, max_backlog_ms: f64) -> Candidate {
+    let latency = LatencyModel {
         slots: SLOTS,
         tokens_per_ms: TOKENS_PER_MS,
         usual_prompt: f64::from(PROMPT),
@@ -57,13 +57,13 @@
     };
     Candidate {
         load,
-        pace,
+        latency,
         near: true,
         queue: 0,
         offset: 0.0,
-        delay_ms: 0.0,
+        link_delay_ms: 0.0,
         slowdown: 1.0,
-        most_ms,
+        max_backlog_ms,
     }
 }
 
--- a/src/routing/pick.rs
+++ b/src/routing/pick.rs
@@ -24,7 +24,7 @@
     }
 
     fn cost(&self) -> u32 {
-        let far = if self.near { 0 } else { FAR };
+        let far = if self.near { 0 } else { CROSS_HALL_REQUESTS };
         self.load + far
     }
 }
@@ -32,11 +32,11 @@
 /// How many requests more a server of the own hall may have before one of
 /// another hall is taken: the few milliseconds between halls are worth less
 /// than a step of an engine, but links are thin.
-const FAR: u32 = 8;
+const CROSS_HALL_REQUESTS: u32 = 8;
 
 /// How much above the mean the load of a server may be for it to keep the
 /// requests of a prefix, in quarters.
-const AFFINE_QUARTERS: u32 = 5;
+const AFFINITY_LIMIT_QUARTERS: u32 = 5;
 
 /// Picks one of the candidates and returns its index.
 ///
@@ -64,7 +64,7 @@
         return None;
     }
     if let Some(prefix) = prefix
-        && let Some(i) = affine(candidates, prefix)
+        && let Some(i) = prefix_server(candidates, prefix)
     {
         return Some(i);
     }
@@ -77,7 +77,10 @@
     Some(if less { b } else { a })
 }
 
-fn affine(candidates: &[Candidate<'_>], prefix: &[u8]) -> Option<usize> {
+fn prefix_server(
+    candidates: &[Candidate<'_>],
+    prefix: &[u8],
+) -> Option<usize> {
     let near = candidates.iter().any(|c| c.near);
     let mut best: Option<(u64, usize)> = None;
     let (mut sum, mut count) = (0, 0);
@@ -93,6 +96,6 @@
         }
     }
     let (_, i) = best?;
-    let bound = (sum * AFFINE_QUARTERS).div_ceil(4 * count) + 1;
+    let bound = (sum * AFFINITY_LIMIT_QUARTERS).div_ceil(4 * count) + 1;
     (candidates[i].load <= bound).then_some(i)
 }
--- a/src/routing/tests.rs
+++ b/src/routing/tests.rs
@@ -48,10 +48,10 @@
     let mut now = Time::ZERO;
     let mut spans = Vec::new();
     for _ in 0..8 {
-        health.fail(now);
-        assert!(!health.fit(now));
+        health.record_failure(now);
+        assert!(!health.is_available(now));
         let mut span = Duration::ZERO;
-        while !health.fit(now) {
+        while !health.is_available(now) {
             now = now.after(Duration::from_millis(100));
             span += Duration::from_millis(100);
         }
@@ -59,9 +59,9 @@
     }
     assert_eq!(spans[..3], [500, 1_000, 2_000]);
     assert_eq!(spans[7], 16_000, "the span is bounded");
-    health.succeed();
-    health.fail(now);
-    assert!(health.fit(now.after(Health::FIRST)));
+    health.record_success();
+    health.record_failure(now);
+    assert!(health.is_available(now.after(Health::INITIAL_BACKOFF)));
 }
 
 #[test]
@@ -70,16 +70,19 @@
     let retry_after = Duration::from_millis(3_000);
     let mut health = Health::new();
     // Concurrent reports must not lengthen the first period.
-    health.fail_capped(Duration::ZERO, at(1_000));
+    health.record_failure_capped(Duration::ZERO, at(1_000));
     assert_eq!(health.failures(), 0);
     for _ in 0..5 {
-        health.fail_capped(retry_after, at(1_000));
+        health.record_failure_capped(retry_after, at(1_000));
     }
-    assert!(!health.fit(at(1_499)));
-    assert!(health.fit(at(1_500)));
+    assert!(!health.is_available(at(1_499)));
+    assert!(health.is_available(at(1_500)));
     for from in [2_000, 4_000, 8_000, 20_000, 40_000] {
-        health.fail_capped(retry_after, at(from));
-        assert!(!health.fit(at(from + 999)), "not left out for longer");
-        assert!(health.fit(at(from + 3_000)));
+        health.record_failure_capped(retry_after, at(from));
+        assert!(
+            !health.is_available(at(from + 999)),
+            "not left out for longer"
+        );
+        assert!(health.is_available(at(from + 3_000)));
     }
 }
