--- a/src/direct.rs
+++ b/src/direct.rs
@@ -1,18 +1,22 @@
-//! Serving from entries straight to replicas.
+//! Serving requests directly from entries to replicas.
 //!
-//! Where a replica itself refuses a wrong incarnation and a wrong version,
-//! no gate has to stand in a request's way: the entry picks a replica, sends
-//! to it, and judges its answer. This module holds the decisions of that
-//! path. [`RouteTable`] says which service takes a request and under which
-//! limits; [`balance`] which replica; [`next_step`] what follows after an
-//! attempt; [`RetryShare`] whether a further attempt may be made at all;
-//! [`Shortage`] when a refused caller comes back; [`EventSplitter`] where a
-//! stream may be cut and taken up again; [`Contention`] how many entries
-//! choose among the same replicas; [`RolloutTurn`] when a replica changes to new
-//! weights; [`ReaderChoice`] which entry reads the platform for the others;
-//! [`AllowedRegions`] where a request may be served; [`Evacuations`] which
-//! halls get no requests;
-//! and [`FirstReadDelay`] how long one that has just started waits for them.
+//! Replicas refuse requests for a wrong incarnation or a wrong version
+//! themselves, so entries need no gate in front of them: the entry chooses a
+//! replica, sends the request to it and evaluates the response. This module
+//! contains the decisions of that path:
+//!
+//! * [`RouteTable`] maps requests to services and their limits.
+//! * [`AllowedRegions`] restricts the regions that serve a request.
+//! * [`Evacuations`] are the halls that receive no requests.
+//! * [`balance`] chooses the replica, with [`Contention`] as an estimate of
+//!   how many entries choose among the same replicas.
+//! * [`next_step`] decides what follows a failed attempt, [`RetryShare`]
+//!   whether a retry is allowed, and [`Shortage`] when a refused caller may
+//!   retry.
+//! * [`EventSplitter`] finds the points at which a stream can be resumed.
+//! * [`RolloutTurn`] schedules when a replica switches to new weights.
+//! * [`ReaderChoice`] chooses the entry that reads the platform for others,
+//!   and [`FirstReadDelay`] how long a new process waits for it.
 
 pub mod balance;
 
--- a/src/direct/attempt_result.rs
+++ b/src/direct/attempt_result.rs
@@ -1,33 +1,33 @@
-//! What follows after an attempt that did not bring the whole answer.
+//! The next step after a failed attempt of a request.
 
 use super::Repeat;
 
-/// How an attempt ended.
+/// How an attempt failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum AttemptResult {
-    /// Nothing was sent: no connection came up.
+    /// Nothing was sent, since no connection could be established.
     Unsent,
-    /// The replica says that it did not run the request.
+    /// The replica responded that it did not run the request.
     Declined,
-    /// It was sent and nothing, or nothing usable, came back.
+    /// The request was sent, and no usable response was received.
     NoResponse,
-    /// The answer broke off after its head had gone to the caller.
+    /// The response ended early, after its head was sent to the caller.
     Interrupted,
 }
 
-/// What to do next.
+/// What to do after a failed attempt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum NextStep {
-    /// Send it to another replica.
+    /// Send the request to another replica.
     Retry,
-    /// Tell the caller that it did not run.
+    /// Respond to the caller that the request did not run.
     Refuse,
-    /// Tell the caller that it may have run.
+    /// Respond to the caller that the request may have run.
     Fail,
 }
 
 impl NextStep {
-    /// Returns its name in logs.
+    /// Returns the name used in logs.
     pub const fn name(self) -> &'static str {
         match self {
             NextStep::Retry => "retry",
@@ -37,25 +37,25 @@
     }
 }
 
-/// Decides what follows after an attempt.
+/// Returns the next step after a failed attempt.
 ///
-/// `ran` says whether an earlier attempt of the same request may have run,
-/// `may_retry` whether attempts, time and budget allow another one. A
-/// request that must not repeat goes out again only after a replica's own
-/// word, or where nothing was sent.
+/// `may_have_run` tells whether an earlier attempt of the same request may
+/// have run, `may_retry` whether the limits on attempts, time and retries
+/// allow another one. A request that must not run twice is retried only if
+/// the replica responded that it did not run it, or if nothing was sent.
 pub const fn next_step(
     result: AttemptResult,
     repeat: Repeat,
     may_have_run: bool,
     may_retry: bool,
 ) -> NextStep {
-    let known_unrun =
+    let did_not_run =
         matches!(result, AttemptResult::Unsent | AttemptResult::Declined);
     let repeatable = matches!(repeat, Repeat::Freely | Repeat::Resume);
-    if may_retry && (known_unrun || repeatable) {
+    if may_retry && (did_not_run || repeatable) {
         return NextStep::Retry;
     }
-    if known_unrun && !may_have_run {
+    if did_not_run && !may_have_run {
         return NextStep::Refuse;
     }
     NextStep::Fail
--- a/src/direct/balance.rs
+++ b/src/direct/balance.rs
@@ -1,30 +1,33 @@
-//! Which replica takes a request.
+//! Load balancing: the choice of a replica for a request.
 //!
-//! An entry knows for certain only its own requests. What others have sent
-//! is known from the replica's last report, less what of it was the entry's
-//! own. Taken is the replica where the first token is expected soonest.
+//! An entry knows exactly only its own requests. The requests of other
+//! entries are estimated as the replica's last report minus the entry's own
+//! requests in it. The replica with the shortest expected time to the first
+//! token is chosen.
 //!
-//! Entries do not see one another's choices, so each leans towards other
-//! replicas than its fellows do: a fixed offset, drawn by hash, spreads them
-//! before the same report makes all of them pick the same replica.
+//! Entries do not see one another's choices, and the same report would make
+//! all of them choose the same replica. Each entry therefore adds a fixed
+//! offset per replica, derived from a hash, to the cost.
 
-/// Requests at one replica.
+/// The outstanding requests at one replica.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Load {
-    /// Requests of this entry that have had no answer yet.
+    /// Requests of this entry without a response yet.
     pub own_pending: u32,
-    /// Prompt tokens of these.
+    /// Prompt tokens of the requests in `own_pending`.
     pub own_pending_tokens: u32,
-    /// Requests of this entry that are being answered.
+    /// Requests of this entry whose response has started.
     pub own_running: u32,
-    /// Requests of others that had no answer yet, by the last report.
+    /// Requests of other entries without a response yet, as of the last
+    /// report.
     pub others_pending: u32,
-    /// Requests of others that were being answered, by the last report.
+    /// Requests of other entries whose response has started, as of the last
+    /// report.
     pub others_running: u32,
 }
 
 impl Load {
-    /// Returns all requests at the replica, as far as known.
+    /// Returns the number of known outstanding requests of all entries.
     pub const fn total(&self) -> u32 {
         self.pending() + self.own_running + self.others_running
     }
@@ -33,12 +36,12 @@
         self.own_pending + self.others_pending
     }
 
-    /// Returns this entry's requests at the replica.
+    /// Returns the number of outstanding requests of this entry.
     pub const fn own(&self) -> u32 {
         self.own_pending + self.own_running
     }
 
-    /// Returns the load with a report taken in.
+    /// Returns the load updated with the counts of a replica's report.
     #[must_use]
     pub const fn with_report(mut self, pending: u32, running: u32) -> Load {
         self.others_pending = pending.saturating_sub(self.own_pending);
@@ -46,7 +49,7 @@
         self
     }
 
-    /// Returns the load without what others were reported to have sent.
+    /// Returns the load without the reported requests of other entries.
     #[must_use]
     pub const fn without_report(mut self) -> Load {
         self.others_pending = 0;
@@ -55,23 +58,25 @@
     }
 }
 
-/// How long a kind of replica takes.
+/// The parameters that estimate a replica's latency.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LatencyModel {
-    /// Requests that it runs at a time.
+    /// The number of requests that the replica runs concurrently.
     pub slots: u32,
-    /// Prompt tokens read in a millisecond; 0 where there are none.
+    /// Prompt tokens processed per millisecond; 0 for services without
+    /// prompts.
     pub tokens_per_ms: f64,
-    /// Prompt tokens of a usual request.
+    /// The prompt length of a typical request, in tokens.
     pub usual_prompt: f64,
-    /// Entries that send to the same replicas.
+    /// The estimated number of entries that send to the same replicas.
     pub entries: f64,
-    /// Between two slots that get free while all are taken, in milliseconds.
+    /// The mean time between two slots becoming free while all slots are in
+    /// use, in milliseconds.
     pub slot_ms: f64,
 }
 
 impl LatencyModel {
-    /// Returns the pace of a plain service.
+    /// Returns the latency model of a service that is not a model engine.
     pub const fn plain(slots: u32) -> LatencyModel {
         LatencyModel {
             slots,
@@ -82,8 +87,11 @@
         }
     }
 
-    /// Returns how long it takes to read the prompts that are known to wait,
-    /// in milliseconds.
+    /// Returns the estimated time to process all pending prompts, in
+    /// milliseconds.
+    ///
+    /// The entry's own tokens count once per entry, since other entries have
+    /// on average sent as many that no report shows yet.
     pub fn backlog_ms(&self, load: &Load) -> f64 {
         if self.tokens_per_ms <= 0.0 {
             return 0.0;
@@ -94,8 +102,8 @@
         tokens / self.tokens_per_ms
     }
 
-    /// Returns how long until the first token of a request that is sent now,
-    /// in milliseconds.
+    /// Returns the estimated delay that the load adds to the first token of
+    /// a request sent now, in milliseconds.
     pub fn first_token_ms(&self, load: &Load) -> f64 {
         let mut ms = self.backlog_ms(load);
         let over = (load.total() + 1).saturating_sub(self.slots);
@@ -104,40 +112,41 @@
         ms + filled * LatencyModel::FULL_LOAD_MS
     }
 
-    /// How much slower a full replica is than an empty one.
+    /// The latency that a fully loaded replica adds over an idle one, in
+    /// milliseconds.
     const FULL_LOAD_MS: f64 = 40.0;
 }
 
-/// A replica that could take a request.
+/// A replica that may be chosen for a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate {
-    /// What is known of its load.
+    /// Its known load.
     pub load: Load,
-    /// How long it takes.
+    /// Its latency parameters.
     pub latency: LatencyModel,
     /// Whether it is in the entry's data hall.
     pub near: bool,
-    /// How many more requests than slots it may get.
+    /// The number of requests that may be queued beyond its slots.
     pub queue: u32,
-    /// The entry's leaning, from 0 (towards it) to 1.
+    /// The entry's fixed offset for this replica, from 0 (preferred) to 1.
     pub offset: f64,
-    /// How much longer than usual the way there takes, in milliseconds.
+    /// The current extra latency of the link to it, in milliseconds.
     pub link_delay_ms: f64,
-    /// How many times slower than usual the replica says it is.
+    /// The reported ratio of its current to its usual processing time.
     pub slowdown: f64,
-    /// How long prompts that are still to be read may take at most, in
-    /// milliseconds.
+    /// The maximum time to process the pending prompts, in milliseconds. A
+    /// replica with a longer backlog is not chosen.
     pub max_backlog_ms: f64,
 }
 
 impl Candidate {
-    /// The cost of going to another data hall, in milliseconds.
+    /// The cost of sending to another data hall, in milliseconds.
     const CROSS_HALL_MS: f64 = 30.0;
 
-    /// How long the first token takes where nobody else is served.
+    /// The time to the first token on an idle replica, in milliseconds.
     const IDLE_FIRST_TOKEN_MS: f64 = 120.0;
 
-    /// The most that a leaning weighs, in milliseconds.
+    /// The cost of an offset of 1, in milliseconds.
     const MAX_OFFSET_MS: f64 = 50.0;
 
     fn has_capacity(&self) -> bool {
@@ -154,7 +163,8 @@
     }
 }
 
-/// Returns the index of the replica to take, or `None` if none has room.
+/// Returns the index of the candidate with the lowest cost, or `None` if no
+/// candidate has capacity.
 pub fn choose(candidates: &[Candidate]) -> Option<usize> {
     let mut best: Option<(usize, f64)> = None;
     for (i, candidate) in candidates.iter().enumerate() {
--- a/src/direct/contention.rs
+++ b/src/direct/contention.rs
@@ -1,12 +1,12 @@
-//! How many entries choose among the same replicas.
+//! An estimate of how many entries send to the same replicas.
 //!
 //! Entries do not see one another's requests until replicas report them.
-//! What one has sent since, the others have sent as well on average, so its
-//! own requests that no report shows yet count once for each entry. Nobody
-//! tells how many there are: the requests at replicas that are one's own,
-//! against all that they report, say it.
+//! Since the last report the other entries have on average sent as much as
+//! this one, so its own unreported requests count once per entry. The number
+//! of entries is not published; it is estimated as the ratio of all requests
+//! at the replicas to this entry's own.
 
-/// The share of an entry in the requests at replicas, learned from reports.
+/// An entry's share of the requests at replicas, estimated from reports.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Contention {
     own: f64,
@@ -14,27 +14,28 @@
 }
 
 impl Contention {
-    /// What is left of older reports with each new one: half after 346, which
-    /// 20 replicas that report 25 times a second make in 0.7 s.
+    /// The weight that older reports keep with each new one. Half is left
+    /// after 346 reports, which 20 replicas that report 25 times a second
+    /// send in 0.7 s.
     const DECAY: f64 = 0.998;
 
-    /// The most entries that are counted on: a share too small to measure
-    /// must not keep an entry from sending at all.
+    /// The upper limit of the estimate, so that an entry whose share is too
+    /// small to measure can still send.
     const MAX_ENTRIES: f64 = 16.0;
 
-    /// Returns a share of all: the only entry, until reports say otherwise.
+    /// Returns an estimate of one entry, until reports are recorded.
     pub const fn new() -> Contention {
         Contention { own: 1.0, all: 1.0 }
     }
 
-    /// Takes in a report of a replica that has `all` requests, `own` of them
-    /// this entry's.
+    /// Records a report of a replica that has `all` requests, `own` of them
+    /// sent by this entry.
     pub fn record_report(&mut self, own: u32, all: u32) {
         self.own = self.own * Contention::DECAY + f64::from(own.min(all));
         self.all = self.all * Contention::DECAY + f64::from(all);
     }
 
-    /// Returns how many entries share the replicas, from 1 on.
+    /// Returns the estimated number of entries, at least 1.
     pub fn entries(&self) -> f64 {
         if self.own <= 0.0 {
             return Contention::MAX_ENTRIES;
--- a/src/direct/event_splitter.rs
+++ b/src/direct/event_splitter.rs
@@ -1,21 +1,21 @@
-//! Cutting a stream of events where it may be taken up again.
+//! Splitting of server-sent event streams so that they can be resumed.
 //!
-//! An answer may break off within an event. Only whole events are passed on,
-//! so that what another replica sends after the last of them joins without
-//! a gap, a repetition or half a piece.
+//! A response may end in the middle of an event. Only complete events are
+//! forwarded, so that another replica can continue after the last of them
+//! without a gap, a repetition or a partial event.
 
 use bytes::{Bytes, BytesMut};
 
-/// A whole event as it was sent, with its blank line.
+/// A complete event as it was sent, including the terminating blank line.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Event {
-    /// The bytes.
+    /// The bytes of the event.
     pub bytes: Bytes,
-    /// The value of its `id` line.
+    /// The value of its `id` field, if it has a numeric one.
     pub id: Option<u64>,
 }
 
-/// Splits the bytes of an answer into events.
+/// Splits the bytes of a response into events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
@@ -23,31 +23,31 @@
 }
 
 impl EventSplitter {
-    /// Returns a splitter that has seen nothing.
+    /// Returns a splitter with an empty buffer.
     pub fn new() -> EventSplitter {
         EventSplitter::default()
     }
 
-    /// Takes in bytes of the answer.
+    /// Appends bytes of the response.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Returns the next whole event.
+    /// Removes and returns the next complete event, if there is one.
     pub fn next_event(&mut self) -> Option<Event> {
-        let end = self.boundary()?;
+        let end = self.event_end()?;
         let bytes = self.buffer.split_to(end).freeze();
         self.scanned = 0;
         let id = event_id(&bytes);
         Some(Event { bytes, id })
     }
 
-    /// Returns whether bytes of an unfinished event are left.
+    /// Returns whether bytes of an incomplete event are buffered.
     pub fn is_partial(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    fn boundary(&mut self) -> Option<usize> {
+    fn event_end(&mut self) -> Option<usize> {
         let start = self.scanned.saturating_sub(3);
         let tail = &self.buffer[start..];
         for (i, byte) in tail.iter().enumerate() {
--- a/src/direct/first_read_delay.rs
+++ b/src/direct/first_read_delay.rs
@@ -1,76 +1,85 @@
-//! How long a process that has just started leaves the routes to others.
+//! The delay before a newly started process reads the routes itself.
 //!
-//! After a loss of everything all processes start at once, and the document
-//! of routes is large: 40 entries and 40 agents of a hall that draw 260 KB
-//! each over a link of 26 Mbit/s between regions fill it for 6 s, and calls
-//! that time out meanwhile begin again. Within about half a second entries
-//! hear of their neighbours through agents, and the few that lead a hall read
-//! for all. Each process draws its part of the longest span once, so that
-//! some read early where nobody answers.
+//! After a full outage all processes start at once, and the document of
+//! routes is large: 40 entries and 40 agents of a hall that fetch 260 KB each
+//! over a link of 26 Mbit/s between regions saturate it for 6 s, and calls
+//! that time out meanwhile are repeated. Within about half a second entries
+//! discover the other entries of their hall through agents, and then a few of
+//! them read for the whole hall. Each process delays its first read by a
+//! random fraction of a maximum, so that some read early if no other process
+//! has the routes.
 
 use std::time::Duration;
 
-/// When one process reads the routes if nobody has them for it.
+/// The delay of one process's first read if no other process provides the
+/// routes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FirstReadDelay {
-    part: f64,
+    fraction: f64,
 }
 
 impl FirstReadDelay {
-    /// The longest span of an entry for each listed replica: with 200
-    /// replicas 5 of a hall's 30 entries read within 0.5 s, with 20 nobody
+    /// The maximum delay of an entry per listed replica. With 200 replicas 5
+    /// of a hall's 30 entries read within 0.5 s; with 20 replicas no entry
     /// waits longer than 0.3 s.
     const PER_REPLICA_ENTRY: Duration = Duration::from_millis(15);
 
-    /// The longest span of an agent for each listed replica: entries are to
-    /// have the routes first, and with 20 replicas nobody waits longer than
-    /// 0.6 s.
+    /// The maximum delay of an agent per listed replica. It is longer than
+    /// that of entries, which should have the routes first; with 20 replicas
+    /// no agent waits longer than 0.6 s.
     const PER_REPLICA_AGENT: Duration = Duration::from_millis(30);
 
-    /// How long the list of replicas, which says how large the fleet is, is
-    /// waited for at least. It comes within 0.2 s where links are free.
+    /// The minimum time that an entry waits for the list of replicas, which
+    /// tells the size of the fleet. The list arrives within 0.2 s over links
+    /// that are not saturated.
     const LIST_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-    /// The longest span of any process. Before the list has come links are
-    /// full, and the routes are far larger.
+    /// The maximum delay of any process. It applies while the list is
+    /// missing: links are saturated then, and the routes are far larger than
+    /// the list.
     const MAX_DELAY: Duration = Duration::from_millis(6_000);
 
-    /// Returns the reading of a process that has drawn `part`, from 0 to 1.
-    pub const fn new(part: f64) -> FirstReadDelay {
-        FirstReadDelay { part: part.clamp(0.0, 1.0) }
+    /// Returns the delay of a process that has drawn a random `fraction`,
+    /// from 0 to 1, of the maximum.
+    pub const fn new(fraction: f64) -> FirstReadDelay {
+        FirstReadDelay { fraction: fraction.clamp(0.0, 1.0) }
     }
 
-    /// Returns how long after its start an entry reads, given how many
-    /// replicas are listed; 0 if none are known yet.
+    /// Returns the delay from the start of an entry to its first read.
+    ///
+    /// `listed` is the number of listed replicas, 0 if none are known yet.
     pub fn for_entry(&self, listed: usize) -> Duration {
-        match self.max_delay_part(FirstReadDelay::PER_REPLICA_ENTRY, listed) {
-            Some(span) => span,
+        match self.scaled_delay(FirstReadDelay::PER_REPLICA_ENTRY, listed) {
+            Some(delay) => delay,
             None => {
                 FirstReadDelay::LIST_TIMEOUT
-                    + FirstReadDelay::MAX_DELAY.mul_f64(self.part)
+                    + FirstReadDelay::MAX_DELAY.mul_f64(self.fraction)
             }
         }
     }
 
-    /// Returns how long after its start an agent reads, given how many
-    /// replicas are listed; 0 if none are known yet.
+    /// Returns the delay from the start of an agent to its first read.
+    ///
+    /// `listed` is the number of listed replicas, 0 if none are known yet.
     pub fn for_agent(&self, listed: usize) -> Duration {
-        let span =
-            self.max_delay_part(FirstReadDelay::PER_REPLICA_AGENT, listed);
-        span.unwrap_or_else(|| FirstReadDelay::MAX_DELAY.mul_f64(self.part))
+        let delay =
+            self.scaled_delay(FirstReadDelay::PER_REPLICA_AGENT, listed);
+        delay.unwrap_or_else(|| {
+            FirstReadDelay::MAX_DELAY.mul_f64(self.fraction)
+        })
     }
 
-    fn max_delay_part(
+    fn scaled_delay(
         &self,
-        each: Duration,
+        per_replica: Duration,
         listed: usize,
     ) -> Option<Duration> {
         if listed == 0 {
             return None;
         }
         let listed = u32::try_from(listed).unwrap_or(u32::MAX);
-        let longest =
-            each.saturating_mul(listed).min(FirstReadDelay::MAX_DELAY);
-        Some(longest.mul_f64(self.part))
+        let max =
+            per_replica.saturating_mul(listed).min(FirstReadDelay::MAX_DELAY);
+        Some(max.mul_f64(self.fraction))
     }
 }
--- a/src/direct/layers.rs
+++ b/src/direct/layers.rs
@@ -1,8 +1,8 @@
-//! Layers of a model.
+//! Ranges of the layers of a model.
 
 use serde::{Deserialize, Serialize};
 
-/// A run of a model's layers.
+/// A contiguous range of a model's layers.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LayerRange {
     /// The first layer.
@@ -12,12 +12,12 @@
 }
 
 impl LayerRange {
-    /// Returns whether it holds all of `layers` layers.
+    /// Returns whether the range covers a model with `layers` layers.
     pub const fn is_whole(self, layers: u32) -> bool {
         self.from == 0 && self.to >= layers
     }
 
-    /// Returns how many layers it has.
+    /// Returns the number of layers in the range.
     pub const fn count(self) -> u32 {
         self.to.saturating_sub(self.from)
     }
--- a/src/direct/reader_choice.rs
+++ b/src/direct/reader_choice.rs
@@ -1,13 +1,15 @@
-//! Which process reads the platform for the others.
+//! The choice of the entry that reads the platform for the others.
 //!
-//! Calls to the platform are counted, and links between regions are poor, so
-//! the first in rank of a hall's entries reads and the others of the hall ask
-//! it; and the first of each hall asks the first of all halls. Rank is the
-//! order of addresses, which all entries agree on without talking; where
-//! they do not, more of them read, and nothing else is lost. One that fails
-//! is left out for a while that grows with each failure, and the next in rank
-//! stands in for it: if all that it read for read the platform themselves,
-//! their documents fill the link that they share for longer than the bound.
+//! Calls to the platform are metered, and links between regions are slow. So
+//! the first-ranked entry of a hall reads the platform and the others of the
+//! hall ask it; the first-ranked entry of each hall asks that of the first
+//! hall. Entries are ranked by address, which needs no coordination. If their
+//! views differ, more of them read the platform, and nothing else is lost.
+//!
+//! A reader that fails is excluded for a time that grows with each failure,
+//! and the next in rank replaces it. If all its clients read the platform
+//! instead, their documents would saturate the shared link for longer than
+//! the propagation bound.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -19,18 +21,18 @@
 use crate::Time;
 use crate::placing::LEADING;
 
-/// An entry that answers others.
+/// An entry that other entries can ask.
 #[derive(
     Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize,
 )]
 pub struct HallEntry {
-    /// Where it answers.
+    /// The address at which it answers.
     pub addr: SocketAddr,
     /// Its data hall.
     pub hall: Arc<str>,
 }
 
-/// Whom an entry asks for what is published.
+/// Chooses the entry that one entry asks for published data.
 #[derive(Debug)]
 pub struct ReaderChoice {
     own: HallEntry,
@@ -40,42 +42,42 @@
 #[derive(Clone, Copy, Debug)]
 struct Failure {
     count: u32,
-    /// Whether it did answer, though with nothing new enough.
-    alive: bool,
+    /// Whether it answered, but with stale data.
+    responsive: bool,
     since: Time,
-    until: Time,
+    excluded_until: Time,
 }
 
 impl ReaderChoice {
-    /// How many entries are asked before an entry reads the platform itself:
-    /// as many of its hall as it is told of.
+    /// The maximum number of entries to ask before reading the platform. It
+    /// equals the number of entries of its hall that an entry is told of.
     pub const MAX_ASKED: usize = LEADING;
 
-    /// How many of a hall's entries with old news are enough to know that the
-    /// platform has told the hall nothing.
+    /// The number of a hall's entries with stale data from which an entry
+    /// concludes that the hall has received nothing newer from the platform.
     pub const MAX_STALE: usize = 2;
 
-    /// How many entries of a hall read the platform themselves where those
-    /// before them have only old news. The others wait for them: if all do
-    /// it, 150 entries read whole documents over the links between regions at
-    /// the moment at which the platform is back, and the last have them 5 s
-    /// later.
+    /// The number of entries of a hall that read the platform themselves if
+    /// those ranked before them have only stale data. The others wait for
+    /// them. Otherwise 150 entries would read complete documents over the
+    /// links between regions as soon as the platform is back, and the last
+    /// would receive them 5 s later.
     pub const LEADERS: usize = 3;
 
-    /// How long a reader is left out after its first failure.
+    /// How long a reader is excluded after its first failure.
     pub const INITIAL_BACKOFF: Duration = Duration::from_secs(2);
 
-    /// The longest that a reader is left out.
+    /// The maximum time for which a reader is excluded.
     pub const MAX_BACKOFF: Duration = Duration::from_secs(16);
 
-    /// Returns the choice of an entry.
+    /// Returns the choice of the entry `own`, with no failures recorded.
     pub fn new(own: HallEntry) -> ReaderChoice {
         ReaderChoice { own, failures: HashMap::new() }
     }
 
-    /// Returns the entry to ask, or `None` if the platform is to be read.
+    /// Returns the entry to ask, or `None` if the platform should be read.
     ///
-    /// `entries` are those known, in any order, with or without the own one.
+    /// `entries` are the known entries in any order, with or without this one.
     pub fn choose(
         &self,
         entries: &[HallEntry],
@@ -84,8 +86,8 @@
         self.choose_next(entries, &[], now)
     }
 
-    /// Returns the entry to ask after those in `asked`, which have not
-    /// answered yet; or `None` if there is no other.
+    /// Returns the entry to ask in addition to those in `asked`, which have
+    /// not answered yet, or `None` if there is no other.
     pub fn choose_next(
         &self,
         entries: &[HallEntry],
@@ -99,14 +101,19 @@
         })
     }
 
-    /// Returns whether an entry has failed, and not answered since.
+    /// Returns whether an entry has failed or had stale data, and has not
+    /// answered with fresh data since.
     pub fn has_failed(&self, entry: SocketAddr) -> bool {
         self.failures.contains_key(&entry)
     }
 
-    /// Returns the first in rank before this entry that is not left out and
-    /// not asked already. Those that are silent are passed over; where
-    /// several have old news, the others have none either.
+    /// Returns the first entry ranked before this one that is neither
+    /// excluded nor in `asked`.
+    ///
+    /// Unresponsive entries are skipped. If [`MAX_STALE`] entries have stale
+    /// data, the others are assumed to have none that is newer.
+    ///
+    /// [`MAX_STALE`]: ReaderChoice::MAX_STALE
     fn first_available(
         &self,
         mut entries: Vec<SocketAddr>,
@@ -116,12 +123,12 @@
         entries.retain(|addr| *addr < self.own.addr);
         entries.sort_unstable();
         entries.dedup();
-        let mut old = 0;
+        let mut stale = 0;
         for addr in entries {
             let failure = self.failures.get(&addr);
-            if let Some(failure) = failure.filter(|f| f.until > now) {
-                old += usize::from(failure.alive);
-                if old >= ReaderChoice::MAX_STALE {
+            if let Some(failure) = failure.filter(|f| f.excluded_until > now) {
+                stale += usize::from(failure.responsive);
+                if stale >= ReaderChoice::MAX_STALE {
                     return None;
                 }
                 continue;
@@ -133,62 +140,69 @@
         None
     }
 
-    /// Notes that an entry failed to answer or had old news; returns whether
-    /// it had been well until now.
+    /// Records that an entry did not answer. Returns whether this is its
+    /// first failure since its last success.
     pub fn record_failure(&mut self, entry: SocketAddr, now: Time) -> bool {
         let failure = self.failures.entry(entry).or_insert(Failure {
             count: 0,
-            alive: false,
+            responsive: false,
             since: now,
-            until: now,
+            excluded_until: now,
         });
-        failure.alive = false;
+        failure.responsive = false;
         let factor = 1 << failure.count.min(8);
-        let rest = (ReaderChoice::INITIAL_BACKOFF * factor)
+        let backoff = (ReaderChoice::INITIAL_BACKOFF * factor)
             .min(ReaderChoice::MAX_BACKOFF);
         failure.count += 1;
-        failure.until = now.after(rest);
+        failure.excluded_until = now.after(backoff);
         failure.count == 1
     }
 
-    /// Notes that an entry that had failed was asked again, and that another
-    /// one answered before it: it is left out for a while longer.
+    /// Records that another entry answered earlier than this one, which had
+    /// failed before. It is excluded for another
+    /// [`INITIAL_BACKOFF`](ReaderChoice::INITIAL_BACKOFF).
     pub fn extend_backoff(&mut self, entry: SocketAddr, now: Time) {
         if let Some(failure) = self.failures.get_mut(&entry) {
-            failure.until = now.after(ReaderChoice::INITIAL_BACKOFF);
+            failure.excluded_until = now.after(ReaderChoice::INITIAL_BACKOFF);
         }
     }
 
-    /// Notes that an entry answered, but knows nothing new enough; returns
-    /// whether it had been well until now. It is asked again soon, however
-    /// often that happens: it says so as soon as it has news.
+    /// Records that an entry answered with stale data. Returns whether this
+    /// is its first failure since its last success.
+    ///
+    /// The backoff does not grow, since the entry answers as soon as it has
+    /// newer data.
     pub fn record_stale(&mut self, entry: SocketAddr, now: Time) -> bool {
         let failure = self.failures.entry(entry).or_insert(Failure {
             count: 0,
-            alive: true,
+            responsive: true,
             since: now,
-            until: now,
+            excluded_until: now,
         });
         let was_healthy = failure.count == 0;
         failure.count = 1;
-        failure.alive = true;
-        failure.until = now.after(ReaderChoice::INITIAL_BACKOFF);
+        failure.responsive = true;
+        failure.excluded_until = now.after(ReaderChoice::INITIAL_BACKOFF);
         was_healthy
     }
 
-    /// Returns whether this entry is one of those of its hall that read the
-    /// platform where nobody before them has news. It is not while it knows
-    /// of no entry.
+    /// Returns whether this entry is one of the first [`LEADERS`] of its hall,
+    /// which read the platform if no entry ranked before them has fresh data.
+    ///
+    /// Returns `false` as long as no entry of the hall is known.
+    ///
+    /// [`LEADERS`]: ReaderChoice::LEADERS
     pub fn leads(&self, entries: &[HallEntry]) -> bool {
         let near = hall_addrs(entries, &self.own.hall);
         let before = near.iter().filter(|addr| **addr < self.own.addr);
         !near.is_empty() && before.count() < ReaderChoice::LEADERS
     }
 
-    /// Returns the entry whose news are waited for in place of reading the
-    /// platform: the first in rank that is alive. There is none if this entry
-    /// leads, or if its hall has so few entries, `leading` of them, that all
-    /// may read.
+    /// Returns the entry to wait for instead of reading the platform: the
+    /// first in rank that answered with stale data.
+    ///
+    /// Returns `None` if this entry leads, or if its hall has so few entries,
+    /// `leading` of them, that all may read.
     pub fn reader_to_await(
         &self,
         entries: &[HallEntry],
@@ -200,8 +214,8 @@
         self.responsive_among(hall_addrs(entries, &self.own.hall))
     }
 
-    /// Returns the entry that is asked again beside a reading of the platform
-    /// that may be in vain: it answered when it had old news.
+    /// Returns the entry to ask again while a read of the platform, which may
+    /// fail, is in progress: the first in rank that answered with stale data.
     pub fn first_responsive(
         &self,
         entries: &[HallEntry],
@@ -215,14 +229,14 @@
         entries: Vec<SocketAddr>,
     ) -> Option<SocketAddr> {
         let before = entries.into_iter().filter(|a| *a < self.own.addr);
-        let alive = before.filter(|addr| {
-            self.failures.get(addr).is_some_and(|failure| failure.alive)
+        let responsive = before.filter(|addr| {
+            self.failures.get(addr).is_some_and(|failure| failure.responsive)
         });
-        alive.min()
+        responsive.min()
     }
 
-    /// Notes that an entry answered with news; returns for how long it had
-    /// failed before, if it had.
+    /// Records that an entry answered with fresh data. Returns for how long
+    /// it had been failing, if it had.
     pub fn record_success(
         &mut self,
         entry: SocketAddr,
@@ -233,13 +247,13 @@
     }
 }
 
-/// Returns the entries of a hall.
+/// Returns the addresses of the entries of a hall.
 fn hall_addrs(entries: &[HallEntry], hall: &str) -> Vec<SocketAddr> {
     let near = entries.iter().filter(|e| &*e.hall == hall);
     near.map(|e| e.addr).collect()
 }
 
-/// Returns the first in rank of each hall.
+/// Returns the address of the first-ranked entry of each hall.
 fn first_of_halls(entries: &[HallEntry]) -> Vec<SocketAddr> {
     let mut first: BTreeMap<&str, SocketAddr> = BTreeMap::new();
     for entry in entries {
--- a/src/direct/regions.rs
+++ b/src/direct/regions.rs
@@ -1,7 +1,7 @@
-//! Where requests may be served.
+//! Restrictions on the regions in which requests may be served.
 //!
-//! A route and a workspace may each name the regions in which their requests
-//! may be served and kept. Where both do, both bind.
+//! A route and a workspace may each list the regions in which their requests
+//! may be served and stored. If both do, a region must be in both lists.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,13 +14,13 @@
 pub struct AllowedRegions(Option<Arc<[Arc<str>]>>);
 
 impl AllowedRegions {
-    /// Returns the regions of a list; an empty list names no bound.
+    /// Returns the regions of a list. An empty list allows all regions.
     pub fn new(regions: Vec<Arc<str>>) -> AllowedRegions {
-        let bound = !regions.is_empty();
-        AllowedRegions(bound.then(|| Arc::from(regions)))
+        let restricted = !regions.is_empty();
+        AllowedRegions(restricted.then(|| Arc::from(regions)))
     }
 
-    /// Returns the regions that both allow; there may be none.
+    /// Returns the regions that both allow, which may be none.
     #[must_use]
     pub fn intersection(&self, other: &AllowedRegions) -> AllowedRegions {
         let (own, theirs) = match (&self.0, &other.0) {
@@ -37,14 +37,14 @@
         AllowedRegions(Some(Arc::from(both)))
     }
 
-    /// Returns whether a request may be served in a region; `None` is one
-    /// that is not known.
+    /// Returns whether a request may be served in a region. `None` stands for
+    /// an unknown region, which only an unrestricted request may be served in.
     pub fn allows(&self, region: Option<&str>) -> bool {
         let Some(allowed) = &self.0 else { return true };
         region.is_some_and(|region| allowed.iter().any(|a| **a == *region))
     }
 
-    /// Returns whether there is a bound at all.
+    /// Returns whether only listed regions are allowed.
     pub const fn is_restricted(&self) -> bool {
         self.0.is_some()
     }
@@ -56,12 +56,12 @@
 pub struct HallRegions(BTreeMap<Arc<str>, Arc<str>>);
 
 impl HallRegions {
-    /// Returns the region of a hall, if it is known.
+    /// Returns the region of a hall, or `None` if it is unknown.
     pub fn region(&self, hall: &str) -> Option<&str> {
         self.0.get(hall).map(|region| &**region)
     }
 
-    /// Returns how many halls there are, if they are known.
+    /// Returns the number of halls, or `None` if they are unknown.
     pub fn hall_count(&self) -> Option<usize> {
         (!self.0.is_empty()).then_some(self.0.len())
     }
--- a/src/direct/replica.rs
+++ b/src/direct/replica.rs
@@ -1,4 +1,4 @@
-//! One replica, as the platform lists it.
+//! Replicas as listed by the platform.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,64 +7,68 @@
 
 use super::LayerRange;
 
-/// Whether a replica takes new work.
+/// Whether a replica accepts new requests.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ReplicaState {
-    /// It takes new work.
+    /// The replica accepts new requests.
     Ready,
-    /// It finishes what it has and leaves.
+    /// The replica finishes its running requests and then shuts down.
     Draining,
 }
 
-/// The version of a model that a replica holds, in whole or in part.
+/// The version of a model that a replica has loaded, fully or in part.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ReplicaVersion {
     /// The model's name.
     pub model: Arc<str>,
     /// The version of its weights.
     pub version: u64,
-    /// The layers held, where they are not all.
+    /// The loaded layers, or `None` for all of them.
     #[serde(default)]
     pub layers: Option<LayerRange>,
 }
 
-/// A listed replica. Each start of one is another replica, or the same one
-/// with a later start.
+/// A listed replica.
+///
+/// After a restart a replica has either a new incarnation, or the same one
+/// with a later start time.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Replica {
-    /// Names this run of it.
+    /// The identifier of this run of the replica.
     pub incarnation: Arc<str>,
-    /// Its service.
+    /// The name of its service.
     pub service: Arc<str>,
-    /// Where it listens.
+    /// The address at which it listens.
     pub addr: SocketAddr,
     /// Its data hall.
     pub hall: Arc<str>,
-    /// Requests that it runs at a time.
+    /// The number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub state: ReplicaState,
-    /// The platform's revision at which it came to the list; 0 if that is not
-    /// known.
+    /// The platform's revision at which it was added to the list, 0 if
+    /// unknown.
     #[serde(default)]
     pub listed_at: u64,
-    /// When its process started, in Unix milliseconds by its own clock, if it
-    /// tells. One that starts again may keep its name.
+    /// The start time of its process by its own clock, in milliseconds since
+    /// the Unix epoch, if reported. A restarted process may keep its
+    /// incarnation.
     #[serde(default)]
     pub born: Option<u64>,
-    /// How much longer it was cold when this was written, in milliseconds.
+    /// The remaining duration of its cold phase when the record was written,
+    /// in milliseconds.
     #[serde(default)]
     pub cold_ms: u64,
-    /// The models that it holds; none for plain services.
+    /// The loaded models; empty for services without models.
     #[serde(default)]
     pub versions: Vec<ReplicaVersion>,
 }
 
 impl Replica {
-    /// Returns whether another run has taken this one's place: both are
-    /// listed at one address, and the other came later. A run that has
-    /// crashed stays listed until its heartbeats are missed.
+    /// Returns whether another run has replaced this one: both are listed at
+    /// the same address, and the other was added later. A crashed run stays
+    /// listed until its heartbeats time out.
     pub fn is_replaced_by(&self, other: &Replica) -> bool {
         self.addr == other.addr
             && self.incarnation != other.incarnation
@@ -72,15 +76,15 @@
             && self.listed_at < other.listed_at
     }
 
-    /// Returns whether this is an earlier process of the replica than another
-    /// one. Of two of which one does not tell its start nothing is known.
+    /// Returns whether this is an earlier process of the same incarnation.
+    /// Returns `false` if either start time is unknown.
     pub fn is_older_than(&self, other: &Replica) -> bool {
         self.incarnation == other.incarnation
             && self.born.zip(other.born).is_some_and(|(own, new)| own < new)
     }
 
-    /// Returns the version that it holds of a model with `layers` layers, if
-    /// it holds all of them.
+    /// Returns the version that it has loaded of a model with `layers`
+    /// layers, or `None` unless all of them are loaded.
     pub fn version(&self, model: &str, layers: u32) -> Option<u64> {
         let held = self.versions.iter().find(|v| &*v.model == model)?;
         let whole = held.layers.is_none_or(|run| run.is_whole(layers));
--- a/src/direct/retry_after.rs
+++ b/src/direct/retry_after.rs
@@ -1,24 +1,24 @@
-//! When a refused caller is told to come back.
+//! The `Retry-After` of refused requests.
 //!
-//! A caller that comes back too early is refused again and has used up its
-//! retry. Callers refused in the same moment are told different times, so
-//! that they do not come back as one wave.
+//! A caller that retries too early is refused again and has used up its
+//! retry. The delay has jitter so that callers refused at the same moment do
+//! not retry at the same moment.
 
 use std::time::Duration;
 
-/// Why no replica could be given to a request.
+/// The reason why no replica serves a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Shortage {
-    /// All replicas that could serve it are full.
+    /// All replicas that can serve the request are full.
     NoCapacity,
-    /// No replica could serve it, with room or without.
+    /// No replica can serve the request, full or not.
     NoReplica,
-    /// No replica could serve it and some are resting. Holds the shortest
-    /// remaining `Retry-After`.
+    /// No replica can serve the request now, and for some of them a
+    /// `Retry-After` has not expired. Holds the shortest remaining one.
     RetryAfter(Duration),
-    /// The replicas that were asked declined.
+    /// The attempted replicas declined the request.
     Declined,
-    /// No connection came up to the replicas that were asked.
+    /// No connection to the attempted replicas could be established.
     Unreachable,
 }
 
@@ -27,15 +27,17 @@
     /// since other replicas may become available before a longer one expires.
     const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
-    /// Returns when a caller may come back. `draw` is between 0 and 1.
-    pub fn retry_after(self, draw: f64) -> Duration {
+    /// Returns the delay after which the caller may retry. `jitter` is a
+    /// random number from 0 to 1.
+    pub fn retry_after(self, jitter: f64) -> Duration {
         let (least, most) = match self {
-            // Room comes as requests end, each of which lasts about a
-            // second; who declines has just been found full or changing.
+            // Capacity frees up as requests end, each of which lasts about a
+            // second. A replica that declines is full or changes its version.
             Shortage::NoCapacity | Shortage::Declined => (1_000, 2_000),
-            // Two that are gone at a time are seldom the only ones.
+            // If two replicas are unreachable at once, others usually are
+            // too.
             Shortage::Unreachable => (2_000, 3_000),
-            // Weights have to come or processes to start: that takes seconds.
+            // Loading weights or starting processes takes seconds.
             Shortage::NoReplica => (2_500, 3_500),
             Shortage::RetryAfter(left) => {
                 let least = left.min(Shortage::MAX_RETRY_AFTER);
@@ -43,7 +45,7 @@
                 (least, least + 1_000)
             }
         };
-        let spread = (most - least) as f64 * draw.clamp(0.0, 1.0);
+        let spread = (most - least) as f64 * jitter.clamp(0.0, 1.0);
         Duration::from_millis(least + spread as u64)
     }
 }
--- a/src/direct/retry_share.rs
+++ b/src/direct/retry_share.rs
@@ -1,16 +1,17 @@
-//! One process's share of the retries that all entries may make together.
+//! An entry's share of the retry budget of the whole fleet.
 //!
-//! The bound holds over all entries, which do not talk about it. Each spends
-//! a part of the requests that it took itself, so that the sum keeps the
-//! bound whatever the number of entries; a small allowance lets an entry
-//! with little traffic retry at all.
+//! The budget limits the retries of all entries together, without
+//! coordination between them. Each entry may retry a fraction of its own
+//! requests, so that the sum stays within the budget for any number of
+//! entries. A small fixed allowance lets entries with little traffic retry.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::Time;
 
-/// Counts requests and retries of one service in a sliding window.
+/// Limits the retries of one service to a fraction of its requests in a
+/// sliding window.
 #[derive(Clone, Debug, Default)]
 pub struct RetryShare {
     window: Duration,
@@ -21,22 +22,24 @@
 }
 
 impl RetryShare {
-    /// The part of the bound's ratio that is spent; the rest covers the
-    /// edges of windows that do not fall together.
+    /// The fraction of the configured ratio that is used. The rest allows for
+    /// windows of the entries that are not aligned.
     const RATIO_MARGIN: f64 = 0.8;
 
-    /// The part of the fixed allowance that is spent: entries that have just
-    /// begun are not counted yet.
+    /// The fraction of the fixed allowance that is used. The rest allows for
+    /// newly started entries that are not counted yet.
     const ALLOWANCE_MARGIN: f64 = 0.8;
 
-    /// The fewest entries that are reckoned with, also while their number is
-    /// not known: an entry that has just begun has seen few requests, and
-    /// retries no more than these. A larger part would send a request to more
-    /// replicas that end by themselves, as if it ended them.
+    /// The minimum number of entries that the allowance is divided by, also
+    /// while their number is unknown. A newly started entry has seen few
+    /// requests, and with a larger allowance it would retry one request on
+    /// several replicas that end for other reasons, as if the request were
+    /// the cause.
     const MIN_ENTRIES: usize = 40;
 
-    /// Returns the share of a bound: `ratio` of the requests and `minimum`
-    /// retries in each `window`, over all of the fleet's `entries`.
+    /// Returns the share of a budget that allows retries of `ratio` of the
+    /// requests plus `minimum` retries per `window`, for all of the fleet's
+    /// `entries` together.
     pub fn new(
         window: Duration,
         ratio: f64,
@@ -48,7 +51,7 @@
         share
     }
 
-    /// Keeps another bound from now on; what was spent stays spent.
+    /// Changes the limits. Recorded requests and retries still count.
     pub fn set_limits(
         &mut self,
         window: Duration,
@@ -63,17 +66,17 @@
             minimum * RetryShare::ALLOWANCE_MARGIN / entries as f64;
     }
 
-    /// Counts a request's first attempt.
+    /// Records the first attempt of a request.
     pub fn record_request(&mut self, now: Time) {
         self.expire(now);
         self.requests.push_back(now);
     }
 
-    /// Spends a retry, if the share has one left.
+    /// Records a retry if the limits allow one, and returns whether they do.
     pub fn try_spend(&mut self, now: Time) -> bool {
         self.expire(now);
-        let most = self.requests.len() as f64 * self.ratio + self.allowance;
-        if self.retries.len() as f64 + 1.0 > most {
+        let max = self.requests.len() as f64 * self.ratio + self.allowance;
+        if self.retries.len() as f64 + 1.0 > max {
             return false;
         }
         self.retries.push_back(now);
--- a/src/direct/route.rs
+++ b/src/direct/route.rs
@@ -1,4 +1,4 @@
-//! One route: which requests it takes, and how they are served.
+//! Routes: which requests they match and how these are served.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,74 +7,74 @@
 
 use super::AllowedRegions;
 
-/// What may be done with a request after an attempt may have run.
+/// Whether a request may be retried after an attempt that may have run.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Repeat {
-    /// It may run more than once.
+    /// The request may run more than once.
     Freely,
-    /// It may run at most once.
+    /// The request may run at most once.
     Never,
-    /// It is a stream that another replica may take up after the last event
-    /// that reached the caller.
+    /// The response is a stream, which another replica may resume after the
+    /// last event that was sent to the caller.
     Resume,
 }
 
-/// A service that a route sends to, with its weight among the others.
+/// A service that receives requests of a route, with its weight.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq)]
 pub struct Destination {
     /// The service's name.
     pub service: Arc<str>,
-    /// Its part of the requests, against the sum of all weights.
+    /// Its share of the requests, relative to the sum of all weights.
     pub weight: u32,
 }
 
-/// A route, as published.
+/// A published route.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq)]
 pub struct Route {
-    /// The host that requests name.
+    /// The host of matching requests.
     pub host: Arc<str>,
-    /// The beginning of the path; starts and ends with a slash.
+    /// The path prefix of matching requests; starts and ends with a slash.
     pub prefix: Arc<str>,
-    /// Where its requests go.
+    /// The services that receive its requests.
     pub destinations: Vec<Destination>,
-    /// Whether a request may be sent again.
+    /// Whether a request may be retried after it may have run.
     pub repeat: Repeat,
-    /// Whether answers are streams of events.
+    /// Whether responses are event streams.
     pub streaming: bool,
-    /// How long a request may be held, in milliseconds.
+    /// The timeout of a request, in milliseconds.
     pub timeout_ms: u64,
-    /// Within which an answer has its full worth, in milliseconds.
+    /// The latency objective of a request, in milliseconds.
     pub objective_ms: u64,
-    /// The most replicas that one request may be sent to.
+    /// The maximum number of replicas that a request is sent to.
     pub attempts: u32,
-    /// 0 is the most urgent.
+    /// The priority of its requests; 0 is the most urgent.
     pub priority: u8,
-    /// Whether no key is needed.
+    /// Whether requests need no key.
     #[serde(default)]
     pub public: bool,
-    /// Where its requests may be served.
+    /// The regions in which its requests may be served.
     #[serde(default)]
     pub regions: AllowedRegions,
 }
 
 impl Route {
-    /// Returns how long a request may be held.
+    /// Returns the timeout of a request.
     pub const fn timeout(&self) -> Duration {
         Duration::from_millis(self.timeout_ms)
     }
 
-    /// Returns within which an answer has its full worth.
+    /// Returns the latency objective of a request.
     pub const fn objective(&self) -> Duration {
         Duration::from_millis(self.objective_ms)
     }
 
-    /// Returns the service for a request, given a number drawn evenly from
-    /// all of `u32`.
-    pub fn service(&self, drawn: u32) -> Option<&Arc<str>> {
+    /// Returns the service for a request, chosen by weight. `random` is a
+    /// uniformly distributed number.
+    pub fn service(&self, random: u32) -> Option<&Arc<str>> {
         let total: u64 =
             self.destinations.iter().map(|d| u64::from(d.weight)).sum();
-        let mut left = (u64::from(drawn) * total) >> u32::BITS;
+        let mut left = (u64::from(random) * total) >> u32::BITS;
         for destination in &self.destinations {
             let weight = u64::from(destination.weight);
             if left < weight {
--- a/src/direct/route_table.rs
+++ b/src/direct/route_table.rs
@@ -1,4 +1,4 @@
-//! All routes, services and workspaces of one published revision.
+//! The routes, services and workspaces of one published revision.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,65 +11,67 @@
 use super::{AllowedRegions, Route};
 use crate::{Code, Error};
 
-/// What is known of a model engine's kind.
+/// The characteristics of a kind of model engine.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq)]
 pub struct Engine {
-    /// Requests that one replica runs at a time.
+    /// The number of requests that a replica runs concurrently.
     pub slots: u32,
-    /// Layers of the model.
+    /// The number of layers of the model.
     pub layers: u32,
-    /// Chunks of a version.
+    /// The number of chunks of a version.
     pub chunks: u32,
-    /// How long a load of all layers takes, in milliseconds.
+    /// The time to load all layers, in milliseconds.
     pub load_ms: u64,
-    /// Prompt tokens read in a second.
+    /// Prompt tokens processed per second.
     #[serde(default)]
     pub read_per_s: f64,
-    /// Milliseconds of a token step.
+    /// The duration of a decoding step, in milliseconds.
     #[serde(default)]
     pub step_ms: f64,
-    /// Prompt tokens of a usual request.
+    /// The prompt length of a typical request, in tokens.
     #[serde(default)]
     pub usual_prompt: f64,
-    /// Tokens of a usual answer.
+    /// The length of a typical response, in tokens.
     #[serde(default)]
     pub usual_answer: f64,
 }
 
 impl Engine {
-    /// Returns how long a replica of this kind takes.
+    /// Returns the latency model of a replica of this kind with `slots`
+    /// slots.
     pub fn latency_model(&self, slots: u32) -> LatencyModel {
         let tokens_per_ms = self.read_per_s / 1000.0;
-        let reading = if tokens_per_ms > 0.0 {
+        let prefill_ms = if tokens_per_ms > 0.0 {
             self.usual_prompt / tokens_per_ms
         } else {
             0.0
         };
-        let writing =
+        let decode_ms =
             self.usual_answer * self.step_ms / f64::from(slots.max(1));
         LatencyModel {
             slots,
             tokens_per_ms,
             usual_prompt: self.usual_prompt,
             entries: 1.0,
-            slot_ms: reading + writing,
+            slot_ms: prefill_ms + decode_ms,
         }
     }
 }
 
-/// Where the weights of models come from.
+/// The server from which the weights of models are fetched.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 pub struct Origin {
     /// Its address.
     pub addr: SocketAddr,
-    /// What its link carries for all who draw together, in megabits a
-    /// second, if that is told.
+    /// The total bandwidth of its link for all clients together, in megabits
+    /// per second, if configured.
     #[serde(default)]
     pub link_mbps: Option<f64>,
 }
 
 impl Origin {
-    /// Returns how long its link takes for some bytes, if that is known.
+    /// Returns the time to transfer a number of bytes over its link, if the
+    /// bandwidth is known.
     pub fn transfer(&self, bytes: u32) -> Option<Duration> {
         let mbps = self.link_mbps.filter(|mbps| *mbps > 0.0)?;
         let seconds = f64::from(bytes) * 8.0 / (mbps * 1e6);
@@ -77,58 +79,58 @@
     }
 }
 
-/// A service that routes send to.
+/// A service that receives requests of routes.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct Service {
     /// Its name.
     pub name: Arc<str>,
-    /// The most connections that one replica takes from all callers.
+    /// The maximum number of connections to a replica from all callers.
     pub connections: u32,
-    /// Requests a second that a replica bears while it is cold; 0 where it
-    /// bears as many as later.
+    /// The maximum request rate of a cold replica, per second; 0 if cold
+    /// replicas have no lower limit.
     #[serde(default)]
     pub cold_per_s: f64,
-    /// Its engine's kind, if it serves a model.
+    /// The kind of its engines, if it serves a model.
     #[serde(default)]
     pub engine: Option<Engine>,
-    /// Its models.
+    /// The models that it serves.
     #[serde(default)]
     pub models: Vec<Arc<str>>,
 }
 
-/// A workspace and the keys by which its requests are known.
+/// A workspace and the keys that identify its requests.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq)]
 pub struct Workspace {
-    /// Its name, as replicas are told it.
+    /// Its name, which is passed on to replicas.
     pub name: Arc<str>,
     /// Its keys.
     pub keys: Vec<Arc<str>>,
-    /// Goes before the route's priority.
+    /// The priority of its requests, which overrides that of the route.
     #[serde(default)]
     pub priority: Option<u8>,
-    /// Where its requests may be served.
+    /// The regions in which its requests may be served.
     #[serde(default)]
     pub regions: AllowedRegions,
 }
 
-/// A published revision before it is checked.
+/// A published revision before validation.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct RouteTableParts {
-    /// The revision; only rises.
+    /// The revision, which only increases.
     pub revision: u64,
     /// All routes.
     pub routes: Vec<Route>,
-    /// All services that replicas belong to.
+    /// All services of replicas.
     pub services: Vec<Service>,
-    /// All workspaces; with none, no key is asked for.
+    /// All workspaces. If there are none, requests need no key.
     #[serde(default)]
     pub workspaces: Vec<Workspace>,
-    /// Where weights come from.
+    /// The origin of weights.
     #[serde(default)]
     pub origin: Option<Origin>,
 }
 
-/// One checked revision, laid out for look-ups.
+/// A validated revision, indexed for lookups.
 #[derive(Debug, Default)]
 pub struct RouteTable {
     revision: u64,
@@ -140,13 +142,13 @@
 }
 
 impl RouteTable {
-    /// Checks a published revision.
+    /// Validates and indexes a published revision.
     ///
     /// # Errors
     ///
-    /// [`Code::UnknownReference`] if a route names a service that is not
-    /// there, [`Code::OutOfRange`] for a prefix without its slashes or a
-    /// route without a destination.
+    /// [`Code::UnknownReference`] if a route refers to an undefined service,
+    /// [`Code::OutOfRange`] if a prefix does not start and end with a slash
+    /// or a route has no destination.
     pub fn new(parts: RouteTableParts) -> Result<RouteTable, Error> {
         let mut table = RouteTable {
             revision: parts.revision,
@@ -206,7 +208,7 @@
         routes.iter().find(|r| path.starts_with(&*r.prefix))
     }
 
-    /// Returns whether requests need a key where their route is not public.
+    /// Returns whether requests need a key, except on public routes.
     pub const fn requires_keys(&self) -> bool {
         self.requires_keys
     }
@@ -221,7 +223,7 @@
         self.services.get(name)
     }
 
-    /// Returns the kind of engine that serves a model.
+    /// Returns the kind of engine that serves a model, if there is one.
     pub fn engine_for_model(&self, model: &str) -> Option<Engine> {
         let mut services = self.services.values();
         let found = services.find(|s| s.models.iter().any(|m| &**m == model));
@@ -233,7 +235,7 @@
         self.services.values()
     }
 
-    /// Returns where weights come from.
+    /// Returns the origin of weights, if configured.
     pub const fn origin(&self) -> Option<Origin> {
         self.origin
     }
--- a/src/direct/sharing_tests.rs
+++ b/src/direct/sharing_tests.rs
@@ -50,7 +50,7 @@
     published.advance_to(12);
     let changes = published.changes_since(Some(10)).unwrap();
     assert!(!changes.whole);
-    assert_eq!(changes.at, 12);
+    assert_eq!(changes.revision, 12);
     assert_eq!(changes.listed, [replica(1, 2)]);
     assert_eq!(changes.gone, [Arc::from("i-2")]);
     assert!(published.changed_after(11));
@@ -128,7 +128,7 @@
             for incarnation in changes.gone {
                 known.remove(&incarnation);
             }
-            after = Some(changes.at);
+            after = Some(changes.revision);
             let all = published.changes_since(None).unwrap().listed;
             let believed: Vec<Replica> = known.values().cloned().collect();
             prop_assert_eq!(believed, all);
--- a/src/direct/version_target.rs
+++ b/src/direct/version_target.rs
@@ -1,11 +1,12 @@
-//! The versions named of each model, and since when older ones are outdated.
+//! The target versions of each model, and when older versions became
+//! outdated.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
 use crate::Time;
 
-/// A version that all replicas of a model are to serve.
+/// The version that all replicas of a model should serve.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct VersionTarget {
     /// The model's name.
@@ -18,30 +19,31 @@
 struct TargetedVersion {
     version: u64,
     since: Time,
-    /// Whether `since` is only estimated.
+    /// Whether `since` is an estimate.
     estimated: bool,
 }
 
-/// The newest versions that a process has learned of. A version never goes
-/// back, whoever tells an older one.
+/// The target versions known to a process. The newest one never decreases,
+/// whichever process reports an older one.
 #[derive(Clone, Debug, Default)]
 pub struct VersionTargets {
-    /// Of each model, in the order in which they were named.
-    named: HashMap<Arc<str>, Vec<TargetedVersion>>,
+    /// The versions of each model, in ascending order.
+    versions: HashMap<Arc<str>, Vec<TargetedVersion>>,
 }
 
 impl VersionTargets {
-    /// The most versions of a model that are remembered; the older ones were
+    /// The maximum number of versions kept per model. Older ones were
     /// outdated long ago.
     const MAX_VERSIONS: usize = 16;
 
-    /// Takes note of a version named at `since`; returns whether it is news.
+    /// Records a target that was set at `since`. Returns whether it is newer
+    /// than the known ones.
     pub fn record(&mut self, target: &VersionTarget, since: Time) -> bool {
         self.add(target, since, false)
     }
 
-    /// Takes note of a version of which it is only estimated that it was named
-    /// at `since`; returns whether it is news.
+    /// Records a target with an estimate of when it was set. Returns whether
+    /// it is newer than the known ones.
     pub fn record_estimate(
         &mut self,
         target: &VersionTarget,
@@ -50,33 +52,34 @@
         self.add(target, since, true)
     }
 
-    /// Takes over from a process that was there when a version was named.
-    /// Returns whether that changes anything.
+    /// Replaces an estimate by the time known to a process that observed the
+    /// change of the target. Returns whether there was an estimate.
     pub fn replace_estimate(
         &mut self,
         target: &VersionTarget,
         since: Time,
     ) -> bool {
-        let Some(named) = self.named.get_mut(&target.model) else {
+        let Some(versions) = self.versions.get_mut(&target.model) else {
             return false;
         };
-        let found = named.iter_mut().find(|n| n.version == target.version);
-        let Some(found) = found.filter(|n| n.estimated) else { return false };
+        let found = versions.iter_mut().find(|v| v.version == target.version);
+        let Some(found) = found.filter(|v| v.estimated) else { return false };
         found.since = since;
         found.estimated = false;
         true
     }
 
-    /// Returns whether the age of any version is only estimated.
+    /// Returns whether any of the times is an estimate.
     pub fn has_estimates(&self) -> bool {
-        self.named.values().flatten().any(|n| n.estimated)
+        self.versions.values().flatten().any(|v| v.estimated)
     }
 
-    /// Returns all versions named, with when where that is known.
+    /// Returns all targets, each with when it was set, or `None` if that time
+    /// is an estimate.
     pub fn all(&self) -> impl Iterator<Item = (&Arc<str>, u64, Option<Time>)> {
-        self.named.iter().flat_map(|(model, named)| {
-            named.iter().map(move |n| {
-                (model, n.version, (!n.estimated).then_some(n.since))
+        self.versions.iter().flat_map(|(model, versions)| {
+            versions.iter().map(move |v| {
+                (model, v.version, (!v.estimated).then_some(v.since))
             })
         })
     }
@@ -87,14 +90,15 @@
         since: Time,
         estimated: bool,
     ) -> bool {
-        let named = self.named.entry(Arc::clone(&target.model)).or_default();
-        if named.last().is_some_and(|n| n.version >= target.version) {
+        let versions =
+            self.versions.entry(Arc::clone(&target.model)).or_default();
+        if versions.last().is_some_and(|v| v.version >= target.version) {
             return false;
         }
-        if named.len() >= VersionTargets::MAX_VERSIONS {
-            named.remove(0);
+        if versions.len() >= VersionTargets::MAX_VERSIONS {
+            versions.remove(0);
         }
-        named.push(TargetedVersion {
+        versions.push(TargetedVersion {
             version: target.version,
             since,
             estimated,
@@ -102,28 +106,28 @@
         true
     }
 
-    /// Returns the newest version named of a model.
+    /// Returns the newest target version of a model.
     pub fn version(&self, model: &str) -> Option<u64> {
-        self.named.get(model)?.last().map(|n| n.version)
+        self.versions.get(model)?.last().map(|v| v.version)
     }
 
-    /// Returns when the newest version of a model was named.
+    /// Returns when the newest target of a model was set.
     pub fn since(&self, model: &str) -> Option<Time> {
-        self.named.get(model)?.last().map(|n| n.since)
+        self.versions.get(model)?.last().map(|v| v.since)
     }
 
-    /// Returns when a version of a model was named.
+    /// Returns when a version of a model became the target.
     pub fn targeted_at(&self, model: &str, version: u64) -> Option<Time> {
-        let named = self.named.get(model)?;
-        let found = named.iter().find(|n| n.version == version);
-        found.map(|n| n.since)
+        let versions = self.versions.get(model)?;
+        let found = versions.iter().find(|v| v.version == version);
+        found.map(|v| v.since)
     }
 
-    /// Returns since when a version has been outdated: when the first newer
-    /// one was named. One that is named later gives it no more time.
+    /// Returns when a version became outdated, which is when the first newer
+    /// target was set. Later targets do not change that time.
     pub fn outdated_since(&self, model: &str, version: u64) -> Option<Time> {
-        let named = self.named.get(model)?;
-        let newer = named.iter().find(|n| n.version > version);
-        newer.map(|n| n.since)
+        let versions = self.versions.get(model)?;
+        let newer = versions.iter().find(|v| v.version > version);
+        newer.map(|v| v.since)
     }
 }
