--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,27 +1,28 @@
-//! The hybrid logical clock that orders events of all processes.
+//! A hybrid logical clock that orders the events of all processes.
 //!
-//! Wall clocks of instances differ, so the time line is ordered by a clock
-//! that never runs backwards and jumps past any stamp it receives (Kulkarni
-//! et al., "Logical Physical Clocks", 2014). The upper 48 bits are wall time
-//! in milliseconds, the lower 16 a counter.
+//! Wall clocks of instances differ, so the timeline is ordered by a clock
+//! that never runs backwards and advances past every timestamp it receives
+//! (Kulkarni et al., "Logical Physical Clocks", 2014). The upper 48 bits of a
+//! timestamp are the wall time in milliseconds, the lower 16 a counter.
 
-/// A hybrid logical clock of one process.
+/// The hybrid logical clock of one process.
 #[derive(Clone, Debug, Default)]
 pub struct Clock {
     last: u64,
 }
 
 impl Clock {
-    /// Bits of a stamp that count events within a millisecond.
+    /// The number of bits of a timestamp that count events within a
+    /// millisecond.
     pub const COUNT_BITS: u32 = 16;
 
-    /// Returns a clock that has seen nothing.
+    /// Returns a clock that has not issued or observed any timestamp.
     pub const fn new() -> Clock {
         Clock { last: 0 }
     }
 
-    /// Returns the stamp of a local event or of a message to be sent, given
-    /// the wall time in milliseconds since the Unix epoch.
+    /// Returns the timestamp of a local event or of a message to be sent,
+    /// given the wall time in milliseconds since the Unix epoch.
     ///
     /// # Examples
     ///
@@ -38,13 +39,13 @@
         self.last
     }
 
-    /// Takes in the stamp of a received message.
-    pub fn observe(&mut self, stamp: u64) {
-        self.last = self.last.max(stamp);
+    /// Advances the clock to the timestamp of a received message.
+    pub fn observe(&mut self, timestamp: u64) {
+        self.last = self.last.max(timestamp);
     }
 
-    /// Returns the wall-time part of a stamp, in milliseconds.
-    pub const fn wall(stamp: u64) -> u64 {
-        stamp >> Clock::COUNT_BITS
+    /// Returns the wall time of a timestamp, in milliseconds.
+    pub const fn wall(timestamp: u64) -> u64 {
+        timestamp >> Clock::COUNT_BITS
     }
 }
--- a/src/digest.rs
+++ b/src/digest.rs
@@ -1,7 +1,8 @@
-//! Digests by which chunks, manifests and documents are named.
+//! Digests that identify chunks, manifests and documents.
 //!
-//! blake3 is used throughout: a chunk is verified as fast as memory is read,
-//! and the name of a thing is enough to check it, whoever sent it.
+//! Content is addressed by its digest, so it can be verified whichever
+//! process sent it. BLAKE3 is used by default since it verifies a chunk about
+//! as fast as memory is read.
 
 use std::fmt;
 use std::str::FromStr;
@@ -11,17 +12,18 @@
 
 use crate::{Code, Error};
 
-/// A digest of 32 bytes: blake3, or SHA-256 where an origin names chunks so.
+/// A digest of 32 bytes: BLAKE3, or SHA-256 for the chunks of an origin that
+/// identifies them by SHA-256.
 #[derive(Clone, Copy, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Digest([u8; 32]);
 
 impl Digest {
-    /// Returns the digest of some bytes.
+    /// Returns the BLAKE3 digest of `bytes`.
     pub fn of(bytes: &[u8]) -> Digest {
         Digest(*blake3::hash(bytes).as_bytes())
     }
 
-    /// Returns the SHA-256 of some bytes, by which other systems name them.
+    /// Returns the SHA-256 digest of `bytes`, as used by other systems.
     pub fn sha256(bytes: &[u8]) -> Digest {
         Digest(Sha256::digest(bytes).into())
     }
@@ -30,7 +32,7 @@
     ///
     /// # Errors
     ///
-    /// [`Code::BadDigest`] if there are not exactly 32.
+    /// [`Code::BadDigest`] if there are not exactly 32 bytes.
     pub fn from_slice(bytes: &[u8]) -> Result<Digest, Error> {
         let raw = bytes.try_into().map_err(|_| {
             Error::new(
--- a/src/ran.rs
+++ b/src/ran.rs
@@ -1,24 +1,24 @@
-//! What is known of whether a request ran.
+//! Whether a request ran.
 //!
-//! The callers' people act on this word (a second letter, a second claim
-//! notice), so "did not run" is said only where it is certain, and any doubt
-//! is "may have run".
+//! Callers decide by it whether to repeat an operation such as sending a
+//! letter or a claim notice. "did not run" is therefore reported only if it
+//! is certain, and "may have run" in all other cases.
 
 use std::fmt;
 
-/// Whether a request ran, as far as the system can tell.
+/// Whether a request ran, as far as is known.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Ran {
-    /// It certainly did not run, and this copy of it never will.
+    /// The request certainly did not run, and this copy of it never will.
     DidNotRun,
-    /// It may have run.
+    /// The request may have run.
     MayHaveRun,
-    /// It ran, or is running.
+    /// The request ran or is running.
     Ran,
 }
 
 impl Ran {
-    /// Returns the words used in the `stairhinge-ran` header.
+    /// Returns the value used in the `stairhinge-ran` header.
     pub const fn as_str(self) -> &'static str {
         match self {
             Ran::DidNotRun => "did not run",
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Reads the words of the `stairhinge-ran` header.
+    /// Parses the value of a `stairhinge-ran` header.
     pub fn parse(s: &str) -> Option<Ran> {
         [Ran::DidNotRun, Ran::MayHaveRun, Ran::Ran]
             .into_iter()
--- a/src/rank.rs
+++ b/src/rank.rs
@@ -1,13 +1,14 @@
-//! Ranks that every process works out alike.
+//! Rendezvous hashing.
 //!
-//! Rendezvous hashing: each member's score for a subject is a hash of both,
-//! and the members are ordered by it. When a member comes or goes, only the
-//! subjects that it was first for change hands, so no process has to be told
-//! who is in charge of what.
+//! The score of a member for a subject is a hash of both, and the members are
+//! ordered by score. All processes compute the same order without
+//! coordination. When a member joins or leaves, only the subjects for which
+//! it ranks first are reassigned.
 
 use std::sync::Arc;
 
-/// Returns the score of `member` for `subject`; the higher goes first.
+/// Returns the score of `member` for `subject`. The highest score ranks
+/// first.
 pub fn score(subject: &[u8], member: &str) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(&(subject.len() as u64).to_le_bytes());
@@ -18,7 +19,7 @@
     u64::from_le_bytes(head.try_into().unwrap_or([0; 8]))
 }
 
-/// Returns `members` in rank order for `subject`, the first in charge first.
+/// Returns `members` in rank order for `subject`.
 ///
 /// # Examples
 ///
@@ -42,7 +43,8 @@
     scored.into_iter().map(|(_, m)| m).collect()
 }
 
-/// Returns the first-ranked member for `subject`, or `None` of none.
+/// Returns the first-ranked member for `subject`, or `None` if there are no
+/// members.
 pub fn first<'a>(
     subject: &[u8],
     members: impl IntoIterator<Item = &'a Arc<str>>,
--- a/src/routing.rs
+++ b/src/routing.rs
@@ -1,9 +1,10 @@
-//! Which backend server takes a request.
+//! The choice of a backend server for a request.
 //!
-//! Load reports lag, so the least loaded server of the last report is the one
-//! that everybody floods (the herd). Of two random candidates the less loaded
-//! is taken instead; see Mitzenmacher, "How Useful Is Old Information?",
-//! 2000. A server that fails is left out for a while by its [`Health`].
+//! Load reports lag, so if all entries chose the least loaded server of the
+//! last report they would overload it (the herd effect). Instead the less
+//! loaded of two random candidates is chosen; see Mitzenmacher, "How Useful
+//! Is Old Information?", 2000. [`Health`] excludes a failing server for a
+//! while.
 
 mod health;
 mod pick;
--- a/src/routing/health.rs
+++ b/src/routing/health.rs
@@ -1,10 +1,10 @@
-//! Leaving out a server that fails or is slow, and letting it back in.
+//! Exclusion of failing or slow servers with exponential backoff.
 
 use std::time::Duration;
 
 use crate::Time;
 
-/// What one entry has seen of one server.
+/// The health of one server as seen by one entry.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Health {
     failures: u32,
@@ -12,54 +12,56 @@
 }
 
 impl Health {
-    /// How long a server is left out after its first failure.
+    /// How long a server is excluded after its first failure.
     pub const INITIAL_BACKOFF: Duration = Duration::from_millis(500);
 
-    /// How often that span doubles at most.
+    /// The maximum number of times that the backoff doubles.
     pub const MAX_DOUBLINGS: u32 = 5;
 
-    /// Returns the health of a server that nothing is known of.
+    /// Returns the health of a server without recorded failures.
     pub const fn new() -> Health {
         Health { failures: 0, excluded_until: Time::ZERO }
     }
 
-    /// Takes note of a failure: the server is left out for a span that
-    /// doubles with each failure in a row.
+    /// Records a failure. The server is excluded for a time that doubles with
+    /// each consecutive failure.
     pub fn record_failure(&mut self, now: Time) {
         self.failures = self.failures.saturating_add(1);
         self.excluded_until = now.after(self.backoff());
     }
 
-    /// Takes note of a failure that leaves the server out for `max_span` at
-    /// most. Ignored while the server is left out, so that reports of several
+    /// Records a failure that excludes the server for at most `max_backoff`.
+    /// Ignored while the server is excluded, so that reports of several
     /// entries do not add up.
-    pub fn record_failure_capped(&mut self, max_span: Duration, now: Time) {
-        if !self.is_available(now) || max_span.is_zero() {
+    pub fn record_failure_capped(&mut self, max_backoff: Duration, now: Time) {
+        if !self.is_available(now) || max_backoff.is_zero() {
             return;
         }
         self.record_failure(now);
-        self.excluded_until = self.excluded_until.min(now.after(max_span));
+        self.excluded_until = self.excluded_until.min(now.after(max_backoff));
     }
 
-    /// Returns for how long the newest failure has the server left out.
+    /// Returns for how long the last failure excludes the server.
     pub fn backoff(&self) -> Duration {
         let doublings =
             self.failures.saturating_sub(1).min(Health::MAX_DOUBLINGS);
         Health::INITIAL_BACKOFF * (1 << doublings)
     }
 
-    /// Returns how many failures there were in a row.
+    /// Returns the number of consecutive failures.
     pub const fn failures(&self) -> u32 {
         self.failures
     }
 
-    /// Takes note of an answer.
+    /// Records a successful response, which resets the failures.
     pub fn record_success(&mut self) {
         *self = Health::new();
     }
 
-    /// Returns whether the server may be chosen. After the span it is let
-    /// back in; if it fails again the next span is twice as long.
+    /// Returns whether the server may be chosen.
+    ///
+    /// It may be chosen again after the backoff. If it then fails, the next
+    /// backoff is twice as long.
     pub fn is_available(&self, now: Time) -> bool {
         now >= self.excluded_until
     }
--- a/src/routing/pick.rs
+++ b/src/routing/pick.rs
@@ -1,8 +1,8 @@
-//! The choice between candidates.
+//! The choice between candidate servers.
 
 use crate::rank;
 
-/// A server that could take a request, as one entry sees it.
+/// A server that may be chosen for a request, as seen by one entry.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Candidate<'a> {
     name: &'a str,
@@ -11,9 +11,11 @@
 }
 
 impl<'a> Candidate<'a> {
-    /// Returns a candidate with its load: the requests that this entry has in
-    /// progress there, or that the server last reported if these are more.
-    /// `near` says whether it is in the entry's own data hall.
+    /// Returns a candidate.
+    ///
+    /// `load` is the larger of the number of requests that this entry has in
+    /// progress there and the number that the server last reported. `near`
+    /// tells whether the server is in the entry's own data hall.
     pub const fn new(name: &'a str, load: u32, near: bool) -> Candidate<'a> {
         Candidate { name, load, near }
     }
@@ -29,21 +31,24 @@
     }
 }
 
-/// How many requests more a server of the own hall may have before one of
-/// another hall is taken: the few milliseconds between halls are worth less
-/// than a step of an engine, but links are thin.
+/// The number of additional requests that a server of the own hall may have
+/// before a server of another hall is chosen. The latency between halls, a few
+/// milliseconds, is less than an engine step, but the links have little
+/// bandwidth.
 const CROSS_HALL_REQUESTS: u32 = 8;
 
-/// How much above the mean the load of a server may be for it to keep the
-/// requests of a prefix, in quarters.
+/// The maximum load, in quarters of the mean load, at which a server keeps
+/// the requests of its prefixes.
 const AFFINITY_LIMIT_QUARTERS: u32 = 5;
 
-/// Picks one of the candidates and returns its index.
+/// Chooses one of the candidates and returns its index, or `None` if there
+/// are none.
 ///
-/// `draws` are two random numbers; `prefix` is the start of the request,
-/// which a server that has seen it answers sooner. The server first in rank
-/// for the prefix is taken if its load is not far above the mean, so that a
-/// popular prefix spreads; otherwise the less loaded of two at random.
+/// `draws` are two random numbers. `prefix` is the start of the request; a
+/// server that has processed the same prefix before responds faster. The
+/// first-ranked server for the prefix is chosen unless its load is far above
+/// the mean, so that the requests of a popular prefix spread. Otherwise the
+/// less loaded of two random candidates is chosen.
 ///
 /// # Examples
 ///
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,12 +1,12 @@
-//! Points in time as the decisions see them.
+//! Points in time of one process.
 //!
-//! Decisions read no clock: the caller hands them a [`Time`]. It counts
-//! milliseconds from an origin that only one process knows, so two of them
-//! are comparable within a process and never between processes.
+//! The code of this crate does not read a clock; the caller passes the
+//! current [`Time`]. It counts milliseconds since an origin that is private
+//! to the process, so times of different processes are not comparable.
 
 use std::time::Duration;
 
-/// A point in time of one process, in milliseconds.
+/// A point in time of one process, with millisecond resolution.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd,
 )]
@@ -38,7 +38,7 @@
         Time(self.0.saturating_sub(span.as_millis() as u64))
     }
 
-    /// Returns the span since `earlier`, or zero if that lies ahead.
+    /// Returns the duration since `earlier`, or zero if `earlier` is later.
     ///
     /// # Examples
     ///
