--- a/src/direct/first_read_delay_tests.rs
+++ b/src/direct/first_read_delay_tests.rs
@@ -2,37 +2,40 @@
 
 use super::FirstReadDelay;
 
-/// When entries hear of their neighbours, in milliseconds.
-const HEARD: Duration = Duration::from_millis(500);
+/// The time until entries discover the other entries of their hall.
+const DISCOVERY: Duration = Duration::from_millis(500);
 
-/// Returns when each of so many processes reads.
-fn reads(
+/// Returns the delays of `count` processes with evenly spread fractions.
+fn delays(
     count: u32,
-    when: impl Fn(FirstReadDelay) -> Duration,
+    delay: impl Fn(FirstReadDelay) -> Duration,
 ) -> impl Iterator<Item = Duration> {
-    let part = move |i| f64::from(i) / f64::from(count);
-    (0..count).map(move |i| when(FirstReadDelay::new(part(i))))
+    let fraction = move |i| f64::from(i) / f64::from(count);
+    (0..count).map(move |i| delay(FirstReadDelay::new(fraction(i))))
 }
 
 #[test]
-fn few_of_a_large_hall_read_before_they_know_their_neighbours() {
-    let entries = reads(40, |r| r.for_entry(200)).filter(|at| *at < HEARD);
-    let agents = reads(40, |r| r.for_agent(200)).filter(|at| *at < HEARD);
-    // 260 KB each over 26 Mbit/s: 0.8 s in place of 6.4 s.
+fn few_processes_of_a_large_hall_read_before_discovery() {
+    let entries =
+        delays(40, |r| r.for_entry(200)).filter(|delay| *delay < DISCOVERY);
+    let agents =
+        delays(40, |r| r.for_agent(200)).filter(|delay| *delay < DISCOVERY);
+    // 11 processes that fetch 260 KB each take 0.8 s over a link of
+    // 26 Mbit/s, instead of 6.4 s for all 80.
     assert!(entries.count() + agents.count() <= 11);
 }
 
 #[test]
-fn nobody_of_a_small_fleet_waits_long() {
-    assert!(reads(9, |r| r.for_entry(20)).all(|at| at <= HEARD));
-    let most = Duration::from_millis(600);
-    assert!(reads(12, |r| r.for_agent(20)).all(|at| at <= most));
+fn delays_are_short_in_a_small_fleet() {
+    assert!(delays(9, |r| r.for_entry(20)).all(|delay| delay <= DISCOVERY));
+    let max = Duration::from_millis(600);
+    assert!(delays(12, |r| r.for_agent(20)).all(|delay| delay <= max));
 }
 
 #[test]
-fn everybody_reads_in_the_end_though_nothing_is_known() {
-    let most = Duration::from_secs(7);
-    assert!(reads(40, |r| r.for_entry(0)).all(|at| at <= most));
-    assert!(reads(40, |r| r.for_agent(0)).all(|at| at <= most));
-    assert!(reads(40, |r| r.for_agent(100_000)).all(|at| at <= most));
+fn delays_are_bounded_without_a_replica_list() {
+    let max = Duration::from_secs(7);
+    assert!(delays(40, |r| r.for_entry(0)).all(|delay| delay <= max));
+    assert!(delays(40, |r| r.for_agent(0)).all(|delay| delay <= max));
+    assert!(delays(40, |r| r.for_agent(100_000)).all(|delay| delay <= max));
 }
--- a/src/direct/overload_tests.rs
+++ b/src/direct/overload_tests.rs
@@ -1,4 +1,4 @@
-//! How replicas are kept from getting more than they can begin in time.
+//! Tests that entries do not send a replica more than it can start in time.
 
 use super::balance::{Candidate, LatencyModel, Load, choose};
 use super::{Contention, Replica, ReplicaState};
@@ -28,25 +28,25 @@
 }
 
 #[test]
-fn a_replica_whose_prompts_take_too_long_to_read_has_no_room() {
+fn replica_with_a_long_prompt_backlog_is_not_chosen() {
     assert_eq!(choose(&[candidate(reading(5_900), 1.0)]), Some(0));
     assert_eq!(choose(&[candidate(reading(6_100), 1.0)]), None);
     let others = Load { others_pending: 7, ..Load::default() };
     assert_eq!(choose(&[candidate(others, 1.0)]), None);
-    // A prompt of any size gets a replica that reads nothing.
+    // An idle replica has capacity for a prompt of any size.
     assert_eq!(choose(&[candidate(Load::default(), 9.0)]), Some(0));
 }
 
 #[test]
-fn what_other_entries_send_unseen_is_counted_like_the_own() {
+fn own_pending_tokens_count_once_per_entry() {
     let idle = candidate(reading(1_000), 1.0);
     assert_eq!(choose(&[idle]), Some(0));
     let contended = candidate(reading(1_000), 9.0);
-    assert_eq!(choose(&[contended]), None, "9,000 tokens are on their way");
+    assert_eq!(choose(&[contended]), None, "9,000 tokens are pending");
 }
 
 #[test]
-fn the_number_of_entries_is_learned_from_reports() {
+fn contention_estimates_the_number_of_entries() {
     let mut contention = Contention::new();
     assert!((contention.entries() - 1.0).abs() < 1e-9);
     for _ in 0..2_000 {
@@ -56,11 +56,11 @@
     for _ in 0..4_000 {
         contention.record_report(8, 16);
     }
-    assert!((contention.entries() - 2.0).abs() < 0.1, "others have gone");
+    assert!((contention.entries() - 2.0).abs() < 0.1, "entries have left");
     for _ in 0..9_000 {
         contention.record_report(0, 16);
     }
-    assert!(contention.entries() <= 16.0, "it is never shut out");
+    assert!(contention.entries() <= 16.0, "the estimate is limited");
 }
 
 fn replica(incarnation: &str, port: u16, listed_at: u64) -> Replica {
@@ -79,11 +79,11 @@
 }
 
 #[test]
-fn the_run_that_came_last_to_an_address_replaces_the_others() {
+fn latest_run_at_an_address_replaces_earlier_runs() {
     let first = replica("i-1", 7_000, 10);
     assert!(first.is_replaced_by(&replica("i-2", 7_000, 20)));
     assert!(!first.is_replaced_by(&replica("i-2", 7_001, 20)));
-    assert!(!first.is_replaced_by(&replica("i-1", 7_000, 20)), "itself");
+    assert!(!first.is_replaced_by(&replica("i-1", 7_000, 20)), "same run");
     assert!(!first.is_replaced_by(&replica("i-0", 7_000, 5)));
     let unknown = replica("i-1", 7_000, 0);
     assert!(!unknown.is_replaced_by(&replica("i-2", 7_000, 20)));
--- a/src/direct/region_tests.rs
+++ b/src/direct/region_tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn where_both_name_regions_both_bind() {
+fn intersection_allows_only_common_regions() {
     let route = regions(&["east", "north"]);
     let workspace = regions(&["north", "west"]);
     let both = route.intersection(&workspace);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn without_a_bound_any_region_will_do_and_with_one_only_known_ones() {
+fn unknown_regions_are_allowed_only_without_restriction() {
     let any = regions(&[]);
     assert!(
         !any.is_restricted() && any.allows(None) && any.allows(Some("east"))
@@ -40,21 +40,21 @@
 }
 
 #[test]
-fn an_evacuated_hall_is_emptied_over_a_part_of_the_bound() {
+fn capacity_of_an_evacuated_hall_reaches_zero_before_the_bound() {
     let bound = EvacuationBound::new(Duration::from_secs(5));
     let since = Time::from_millis(10_000);
-    let room = |ms: u64| {
+    let fraction = |ms: u64| {
         bound.capacity_fraction(since, Time::from_millis(10_000 + ms))
     };
-    assert_eq!(room(0), 1.0);
-    assert!((0.4..0.6).contains(&room(1_500)), "{}", room(1_500));
-    // What is sent last has time to arrive.
-    assert_eq!(room(3_500), 0.0);
-    assert_eq!(room(60_000), 0.0);
+    assert_eq!(fraction(0), 1.0);
+    assert!((0.4..0.6).contains(&fraction(1_500)), "{}", fraction(1_500));
+    // The rest of the bound is left for requests in transit.
+    assert_eq!(fraction(3_500), 0.0);
+    assert_eq!(fraction(60_000), 0.0);
 }
 
 #[test]
-fn an_evacuation_told_again_begins_no_later() {
+fn repeated_evacuation_keeps_the_first_time() {
     let mut evacuations = Evacuations::default();
     assert!(evacuations.begin("a".into(), Time::from_millis(5)));
     assert!(!evacuations.begin("a".into(), Time::from_millis(9)));
@@ -67,13 +67,15 @@
 
 proptest! {
     #[test]
-    fn the_room_of_an_evacuated_hall_only_shrinks(
+    fn capacity_of_an_evacuated_hall_never_grows(
         within in 1u64..20_000, a in 0u64..30_000, b in 0u64..30_000,
     ) {
         let bound = EvacuationBound::new(Duration::from_millis(within));
         let since = Time::from_millis(7);
-        let room = |ms: u64| bound.capacity_fraction(since, Time::from_millis(7 + ms));
-        prop_assert!(room(a.min(b)) >= room(a.max(b)));
-        prop_assert_eq!(room(within), 0.0);
+        let fraction = |ms: u64| {
+            bound.capacity_fraction(since, Time::from_millis(7 + ms))
+        };
+        prop_assert!(fraction(a.min(b)) >= fraction(a.max(b)));
+        prop_assert_eq!(fraction(within), 0.0);
     }
 }
--- a/src/direct/retry_after_tests.rs
+++ b/src/direct/retry_after_tests.rs
@@ -1,29 +1,29 @@
-//! When refused callers come back.
+//! Tests of the `Retry-After` of refused requests.
 
 use std::time::Duration;
 
 use super::Shortage;
 
 #[test]
-fn callers_come_back_later_the_longer_a_shortage_lasts() {
+fn retry_after_grows_with_the_expected_shortage() {
     let span = |s: Shortage| (s.retry_after(0.0), s.retry_after(1.0));
-    let (room, gone) =
+    let (full, unreachable) =
         (span(Shortage::NoCapacity), span(Shortage::Unreachable));
     let outage = span(Shortage::NoReplica);
-    assert!(room.0 < gone.0 && gone.0 < outage.0);
+    assert!(full.0 < unreachable.0 && unreachable.0 < outage.0);
     assert!(outage.1 <= Duration::from_secs(4), "{outage:?}");
 }
 
 #[test]
-fn callers_come_back_once_a_resting_replica_takes_requests_again() {
-    let resting = Shortage::RetryAfter(Duration::from_millis(1_700));
-    assert_eq!(resting.retry_after(0.0), Duration::from_millis(1_700));
+fn retry_after_follows_that_of_replicas_up_to_a_limit() {
+    let limited = Shortage::RetryAfter(Duration::from_millis(1_700));
+    assert_eq!(limited.retry_after(0.0), Duration::from_millis(1_700));
     let one_day = Shortage::RetryAfter(Duration::from_secs(86_400));
     assert!(one_day.retry_after(1.0) <= Duration::from_secs(31));
 }
 
 #[test]
-fn callers_refused_together_come_back_one_after_the_other() {
+fn retry_after_is_spread_by_jitter() {
     for shortage in [
         Shortage::Declined,
         Shortage::NoCapacity,
--- a/src/direct/sharing_tests.rs
+++ b/src/direct/sharing_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what entries of a hall share of what is published.
+//! Tests of how the entries of a hall share published data.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -36,12 +36,12 @@
 }
 
 #[test]
-fn nothing_is_handed_on_before_anything_was_read() {
+fn no_changes_before_the_first_read() {
     assert_eq!(PublishedReplicas::default().changes_since(None), None);
 }
 
 #[test]
-fn only_what_changed_is_handed_on_and_each_replica_once() {
+fn changes_contain_each_changed_replica_once() {
     let mut published = PublishedReplicas::default();
     published.replace(vec![replica(1, 8), replica(2, 8)], 10);
     published.set(replica(1, 4), 11);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn what_is_older_than_the_first_list_gets_all_of_it() {
+fn revision_before_the_first_list_gets_the_whole_list() {
     let mut published = PublishedReplicas::default();
     published.replace(vec![replica(1, 8)], 10);
     let changes = published.changes_since(Some(9)).unwrap();
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_list_read_again_tells_who_has_gone() {
+fn replacing_the_list_reports_removed_replicas() {
     let mut published = PublishedReplicas::default();
     published.replace(vec![replica(1, 8), replica(2, 8)], 10);
     published.replace(vec![replica(2, 8)], 20);
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn too_many_gone_ones_make_an_old_asker_read_all() {
+fn dropped_removals_require_the_whole_list() {
     let mut published = PublishedReplicas::default();
     published.replace(vec![replica(0, 8)], 1);
     for number in 1..=1_100 {
@@ -90,17 +90,19 @@
     }
     published.advance_to(1_101);
     assert!(published.changes_since(Some(2)).unwrap().whole);
-    let late = published.changes_since(Some(1_000)).unwrap();
-    assert!(!late.whole);
-    assert_eq!(late.gone.len(), 101);
+    let recent = published.changes_since(Some(1_000)).unwrap();
+    assert!(!recent.whole);
+    assert_eq!(recent.gone.len(), 101);
 }
 
 proptest! {
-    /// Whatever happens and whenever it asks, an asker believes what its
-    /// reader does.
+    /// A client that applies the changes whenever it asks ends up with the
+    /// same list as its reader.
     #[test]
-    fn an_asker_ends_with_what_its_reader_knows(
-        steps in prop::collection::vec((0u32..6, 0u32..4, any::<bool>()), 1..60),
+    fn changes_reproduce_the_list(
+        steps in prop::collection::vec(
+            (0u32..6, 0u32..4, any::<bool>()), 1..60
+        ),
     ) {
         let mut published = PublishedReplicas::default();
         published.replace(vec![replica(0, 1)], 1);
@@ -130,8 +132,8 @@
             }
             after = Some(changes.revision);
             let all = published.changes_since(None).unwrap().listed;
-            let believed: Vec<Replica> = known.values().cloned().collect();
-            prop_assert_eq!(believed, all);
+            let received: Vec<Replica> = known.values().cloned().collect();
+            prop_assert_eq!(received, all);
         }
     }
 }
@@ -145,7 +147,7 @@
 }
 
 #[test]
-fn the_first_in_rank_reads_and_the_others_ask_it() {
+fn first_ranked_entry_reads_and_others_ask_it() {
     let entries = [near(3), near(1), near(2)];
     let choice = |own| ReaderChoice::new(near(own)).choose(&entries, at(0));
     assert_eq!(choice(1), None);
@@ -154,16 +156,17 @@
 }
 
 #[test]
-fn the_first_of_a_hall_asks_the_first_of_another() {
+fn first_ranked_entry_of_a_hall_asks_that_of_another() {
     let entries =
         [near(11), near(12), far(21, "south"), far(22, "south"), far(1, "w")];
     let choice =
         |own: HallEntry| ReaderChoice::new(own).choose(&entries, at(0));
     assert_eq!(choice(far(1, "w")), None);
     assert_eq!(choice(near(11)), Some(entry(1)));
-    assert_eq!(choice(near(12)), Some(entry(11)), "the own hall's first");
+    assert_eq!(choice(near(12)), Some(entry(11)), "first of its own hall");
     assert_eq!(choice(far(21, "south")), Some(entry(1)));
-    // Cut off from the first hall, it asks the next before the platform.
+    // Without a connection to the first hall it asks the next one before it
+    // reads the platform.
     let mut south = ReaderChoice::new(far(21, "south"));
     south.record_failure(entry(1), at(0));
     assert_eq!(south.choose(&entries, at(0)), Some(entry(11)));
@@ -172,24 +175,25 @@
 }
 
 #[test]
-fn an_entry_that_knows_of_no_other_reads_itself() {
+fn entry_without_peers_reads_the_platform() {
     let choice = ReaderChoice::new(near(2));
     assert_eq!(choice.choose(&[], at(0)), None);
     assert_eq!(choice.choose(&[near(2)], at(0)), None);
 }
 
 #[test]
-fn silent_readers_are_passed_over_for_the_next_in_rank() {
+fn unresponsive_readers_are_skipped() {
     let entries = [near(1), near(2), near(3), near(4)];
     let mut choice = ReaderChoice::new(near(4));
     assert!(choice.record_failure(entry(1), at(0)));
     assert_eq!(choice.choose(&entries, at(0)), Some(entry(2)));
     choice.record_failure(entry(2), at(0));
-    // If it did not ask the third, all of a hall would read the platform.
+    // If it did not ask the third, all entries of the hall would read the
+    // platform.
     assert_eq!(choice.choose(&entries, at(0)), Some(entry(3)));
     choice.record_failure(entry(3), at(0));
     assert_eq!(choice.choose(&entries, at(0)), None);
-    // It tries them again later, and ever later while they fail.
+    // They are retried with increasing backoff.
     assert_eq!(choice.choose(&entries, at(2_000)), Some(entry(1)));
     assert!(!choice.record_failure(entry(1), at(2_000)));
     assert_eq!(choice.choose(&entries, at(4_000)), Some(entry(2)));
@@ -201,7 +205,7 @@
 }
 
 #[test]
-fn while_one_is_asked_the_next_in_rank_is_chosen_beside_it() {
+fn next_in_rank_is_chosen_while_another_is_asked() {
     let entries = [near(1), near(2), near(3), far(21, "south")];
     let mut choice = ReaderChoice::new(near(3));
     let asked = [entry(1)];
@@ -210,7 +214,7 @@
     };
     assert_eq!(next(&choice, &asked), Some(entry(2)));
     assert_eq!(next(&choice, &[entry(1), entry(2)]), None);
-    // Two with old news are enough, whoever else is being asked.
+    // Two entries with stale data are enough, whichever others are asked.
     choice.record_stale(entry(1), at(0));
     assert_eq!(next(&choice, &[]), Some(entry(2)));
     choice.record_stale(entry(2), at(0));
@@ -218,7 +222,7 @@
 }
 
 #[test]
-fn one_in_doubt_that_another_outruns_is_left_out_for_longer() {
+fn slower_reader_that_failed_before_is_excluded_longer() {
     let entries = [near(1), near(2), near(3)];
     let mut choice = ReaderChoice::new(near(3));
     choice.record_failure(entry(1), at(0));
@@ -233,7 +237,7 @@
 }
 
 #[test]
-fn who_does_not_lead_waits_for_a_reader_with_old_news() {
+fn followers_wait_for_a_reader_with_stale_data() {
     let entries = [1, 2, 3, 4, 5].map(near);
     let mut last = ReaderChoice::new(near(5));
     let mut third = ReaderChoice::new(near(3));
@@ -246,16 +250,16 @@
     assert_eq!(third.reader_to_await(&entries, 5), None);
     assert_eq!(third.first_responsive(&entries), Some(entry(1)));
     assert!(third.leads(&entries) && !last.leads(&entries));
-    // Where a hall has few entries all read.
+    // In a hall with few entries all of them read the platform.
     assert_eq!(last.reader_to_await(&entries, 4), None);
-    // Asked again soon, after however long a time without the platform.
+    // The backoff stays short however long the platform is unreachable.
     for round in 1..10 {
         let now = at(round * 2_000);
         assert_eq!(last.choose(&entries, now), Some(entry(1)));
         assert!(!last.record_stale(entry(1), now));
         assert!(!last.record_stale(entry(2), now));
     }
-    // One that is dead is not waited for.
+    // An unresponsive entry is not waited for.
     last.record_failure(entry(1), at(20_000));
     assert_eq!(last.reader_to_await(&entries, 5), Some(entry(2)));
     last.record_failure(entry(2), at(20_000));
@@ -263,7 +267,7 @@
 }
 
 #[test]
-fn an_entry_that_knows_of_no_other_does_not_lead_yet() {
+fn entry_without_peers_does_not_lead() {
     let choice = ReaderChoice::new(near(5));
     assert!(!choice.leads(&[]));
     assert!(!choice.leads(&[far(1, "south")]));
--- a/src/direct/tests.rs
+++ b/src/direct/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the decisions of direct serving.
+//! Tests of direct serving.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_version_never_goes_back() {
+fn target_version_never_decreases() {
     let mut targets = VersionTargets::default();
     assert!(targets.record(&target(2), at(0)));
     assert!(!targets.record(&target(1), at(5)));
@@ -29,12 +29,12 @@
 }
 
 #[test]
-fn a_version_is_outdated_from_the_first_newer_one_on() {
+fn version_is_outdated_from_the_first_newer_target() {
     let mut targets = VersionTargets::default();
     targets.record(&target(2), at(1_000));
     targets.record(&target(3), at(3_000));
-    // Each version is judged from its own naming: a later one gives an old
-    // replica no more time.
+    // Each version is outdated from the first newer target on. A later
+    // target must not extend the time of a replica with an old version.
     assert_eq!(targets.outdated_since("matcher", 1), Some(at(1_000)));
     assert_eq!(targets.outdated_since("matcher", 2), Some(at(3_000)));
     assert_eq!(targets.outdated_since("matcher", 3), None);
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_wins() {
+fn longest_prefix_of_the_host_matches() {
     let table = RouteTable::new(parts()).unwrap();
     let prefix =
         |host, path| table.route(host, path).map(|r| r.prefix.to_string());
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn keys_name_workspaces() {
+fn keys_identify_workspaces() {
     let table = RouteTable::new(parts()).unwrap();
     assert!(table.requires_keys());
     assert_eq!(&*table.workspace("k2").unwrap().name, "desk");
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn weights_split_a_route_in_proportion() {
+fn weights_split_requests_in_proportion() {
     let table = RouteTable::new(parts()).unwrap();
     let route = table.route("a.example", "/match/").unwrap();
     let mut counter = 0;
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_table_with_a_fault_is_refused_with_its_code() {
+fn invalid_table_is_rejected_with_a_code() {
     let mut unknown = parts();
     unknown.routes[0].destinations[0].service = Arc::from("nobody");
     let mut slashless = parts();
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn what_follows_after_an_attempt() {
+fn next_step_for_each_attempt_result() {
     use AttemptResult::{Declined, Interrupted, NoResponse, Unsent};
     use NextStep::{Fail, Refuse, Retry};
     use Repeat::{Freely, Never, Resume};
@@ -129,7 +129,7 @@
         (Interrupted, Never, false, true, Fail),
         (Unsent, Never, false, false, Refuse),
         (Declined, Freely, false, false, Refuse),
-        // An earlier attempt may have run: "did not run" would be a lie.
+        // An earlier attempt may have run, so "did not run" would be wrong.
         (Declined, Freely, true, false, Fail),
         (NoResponse, Freely, false, false, Fail),
     ] {
@@ -138,9 +138,10 @@
     }
 }
 
-/// Returns the retries that entries spend and those that the bound allows in
-/// one window in which every attempt fails, each entry with so many requests.
-fn spent_by_all(
+/// Returns the number of retries of all entries in a window in which every
+/// attempt fails, and the number that the budget allows. Each entry receives
+/// `requests` requests.
+fn fleet_retries(
     (ratio, minimum): (f64, f64),
     entries: usize,
     requests: u64,
@@ -160,39 +161,39 @@
 }
 
 #[test]
-fn shares_of_many_entries_keep_the_bound_together() {
-    let (spent, most) = spent_by_all((0.2, 100.0), 8, 1_000);
-    assert!(spent <= most, "{spent} of {most}");
-    assert!(spent >= most * 0.6, "{spent} of {most}");
+fn retry_shares_stay_within_the_fleet_budget() {
+    let (spent, budget) = fleet_retries((0.2, 100.0), 8, 1_000);
+    assert!(spent <= budget, "{spent} of {budget}");
+    assert!(spent >= budget * 0.6, "{spent} of {budget}");
 }
 
-/// Each of a large fleet's entries takes few requests, so that the fixed
-/// allowance is most of what they spend.
+/// Each entry of a large fleet receives few requests, so most retries come
+/// from the fixed allowance.
 #[test]
-fn shares_of_a_whole_fleet_keep_the_bound_together() {
+fn retry_allowances_stay_within_the_fleet_budget() {
     for (entries, minimum) in [(7, 102.0), (327, 654.0), (1_000, 2_000.0)] {
-        let (spent, most) = spent_by_all((0.2, minimum), entries, 16);
-        assert!(spent <= most, "{entries} entries: {spent} of {most}");
-        let used = entries < 40 || spent >= most * 0.5;
-        assert!(used, "{entries} entries: {spent} of {most}");
+        let (spent, budget) = fleet_retries((0.2, minimum), entries, 16);
+        assert!(spent <= budget, "{entries} entries: {spent} of {budget}");
+        let used = entries < 40 || spent >= budget * 0.5;
+        assert!(used, "{entries} entries: {spent} of {budget}");
     }
 }
 
 #[test]
-fn retries_come_back_as_the_window_slides() {
+fn retries_are_regained_as_the_window_slides() {
     let window = Duration::from_secs(10);
     let mut share = RetryShare::new(window, 0.0, 100.0, Some(10));
     assert!(share.try_spend(at(0)));
     assert!(share.try_spend(at(0)));
     assert!(!share.try_spend(at(9_000)));
     assert!(share.try_spend(at(10_001)));
-    // More entries leave each one less.
+    // The share of each entry shrinks as their number grows.
     share.set_limits(window, 0.0, 100.0, Some(80));
     assert!(!share.try_spend(at(10_002)));
 }
 
 #[test]
-fn only_whole_events_come_out() {
+fn splitter_returns_only_complete_events() {
     let text = b"id: 1\ndata: a\n\nid: 2\r\ndata: b\n\r\nid: 3\nda";
     for step in 1..text.len() {
         let mut splitter = EventSplitter::new();
@@ -216,7 +217,7 @@
 }
 
 #[test]
-fn turns_spread_over_the_time_there_is() {
+fn rollout_turns_are_spread_evenly() {
     let members = members(6);
     let mut pauses = Vec::new();
     for me in &members {
@@ -228,11 +229,11 @@
 }
 
 #[test]
-fn a_turn_never_comes_after_the_bound() {
+fn rollout_turn_is_never_after_the_bound() {
     let members = members(20);
     for me in &members {
         let rollout = RolloutTurn::new(b"matcher@2", &members, me);
-        // The chunks would come later than the bound allows.
+        // The chunks arrive later than the bound allows.
         let pause = rollout.pauses_at(at(9_000), at(7_000));
         assert_eq!(pause, at(7_000));
     }
@@ -259,16 +260,16 @@
 }
 
 #[test]
-fn the_replica_with_the_least_to_read_is_chosen() {
-    let reading =
+fn replica_with_the_shortest_backlog_is_chosen() {
+    let prefilling =
         Load { own_pending: 1, own_pending_tokens: 4_000, ..Load::default() };
-    let writing = Load { own_running: 6, ..Load::default() };
-    let candidates = [candidate(reading), candidate(writing)];
+    let decoding = Load { own_running: 6, ..Load::default() };
+    let candidates = [candidate(prefilling), candidate(decoding)];
     assert_eq!(choose(&candidates), Some(1));
 }
 
 #[test]
-fn a_full_replica_is_not_chosen() {
+fn full_replica_is_not_chosen() {
     let full = Load { own_running: 18, ..Load::default() };
     assert_eq!(choose(&[candidate(full)]), None);
     let last = Load { own_running: 17, ..Load::default() };
@@ -276,7 +277,7 @@
 }
 
 #[test]
-fn a_report_counts_without_the_entrys_own_requests() {
+fn reported_load_excludes_own_requests() {
     let own = Load { own_pending: 2, own_running: 3, ..Load::default() };
     let load = own.with_report(5, 4);
     assert_eq!((load.others_pending, load.others_running), (3, 1));
@@ -285,37 +286,37 @@
 }
 
 #[test]
-fn entries_lean_towards_different_replicas() {
-    let mut towards = candidate(Load::default());
-    let mut away = candidate(Load::default());
-    towards.offset = 0.1;
-    away.offset = 0.9;
-    assert_eq!(choose(&[away, towards]), Some(1));
-    // A leaning does not outweigh a prompt still to be read.
-    towards.load.own_pending = 1;
-    towards.load.own_pending_tokens = 2_000;
-    assert_eq!(choose(&[away, towards]), Some(0));
+fn offset_decides_between_equal_replicas() {
+    let mut preferred = candidate(Load::default());
+    let mut other = candidate(Load::default());
+    preferred.offset = 0.1;
+    other.offset = 0.9;
+    assert_eq!(choose(&[other, preferred]), Some(1));
+    // The offset does not outweigh a pending prompt.
+    preferred.load.own_pending = 1;
+    preferred.load.own_pending_tokens = 2_000;
+    assert_eq!(choose(&[other, preferred]), Some(0));
 }
 
 #[test]
-fn only_a_run_of_all_layers_is_whole() {
+fn only_a_range_of_all_layers_is_whole() {
     for (from, to, want) in
         [(0, 16, true), (0, 15, false), (1, 16, false), (0, 0, false)]
     {
-        let run = LayerRange { from, to };
-        assert_eq!(run.is_whole(16), want, "{run:?}");
+        let range = LayerRange { from, to };
+        assert_eq!(range.is_whole(16), want, "{range:?}");
     }
 }
 
 #[test]
-fn a_presumed_age_gives_way_to_a_witness_and_to_nobody_else() {
+fn only_estimates_are_replaced() {
     let mut targets = VersionTargets::default();
     targets.record(&target(2), at(9_000));
     targets.record_estimate(&target(3), at(1_000));
     assert!(targets.has_estimates());
     assert!(
         !targets.replace_estimate(&target(2), at(9_500)),
-        "it was there itself"
+        "not an estimate"
     );
     assert!(targets.replace_estimate(&target(3), at(8_000)));
     assert!(!targets.replace_estimate(&target(3), at(8_500)));
@@ -324,7 +325,7 @@
 }
 
 #[test]
-fn a_replica_behind_a_full_link_is_left_to_others() {
+fn replica_behind_a_congested_link_is_avoided() {
     let mut delayed = candidate(Load::default());
     delayed.link_delay_ms = 400.0;
     let busy = Load { own_running: 12, ..Load::default() };
@@ -332,7 +333,7 @@
 }
 
 #[test]
-fn a_replica_that_says_it_is_slow_is_left_to_others() {
+fn replica_that_reports_a_slowdown_is_avoided() {
     let mut slow = candidate(Load::default());
     slow.slowdown = 5.0;
     let busy = Load {
@@ -342,7 +343,7 @@
         ..Load::default()
     };
     assert_eq!(choose(&[slow, candidate(busy)]), Some(1));
-    // But it is better than one that is full.
+    // It is still chosen over a full replica.
     let full = Load { own_running: 18, ..Load::default() };
     assert_eq!(choose(&[slow, candidate(full)]), Some(0));
 }
--- a/src/number/tests.rs
+++ b/src/number/tests.rs
@@ -16,14 +16,14 @@
 }
 
 #[test]
-fn a_number_may_be_written_in_any_way() {
-    let one = Read { count: 34, span: Some(3_000) };
+fn reads_any_number_notation() {
+    let expected = Read { count: 34, span: Some(3_000) };
     for text in [
         r#"{"count":34,"span":3000}"#,
         r#"{"count":34.421052631578945,"span":3000.0}"#,
         r#"{"count":3.4e1,"span":3.0004e3}"#,
     ] {
-        assert_eq!(read(text).as_ref(), Ok(&one), "{text}");
+        assert_eq!(read(text).as_ref(), Ok(&expected), "{text}");
     }
     for text in [r#"{"count":1}"#, r#"{"count":1,"span":null}"#] {
         assert_eq!(read(text), Ok(Read { count: 1, span: None }));
@@ -34,8 +34,8 @@
 }
 
 #[test]
-fn what_is_no_such_number_is_told_with_the_range() {
-    for (value, told) in [
+fn rejects_invalid_numbers_with_the_allowed_range() {
+    for (value, message) in [
         ("-1", "-1, allowed: 0 to 4294967295"),
         ("4294967296", "4294967296, allowed: 0 to 4294967295"),
         ("\"7\"", "invalid type: string"),
@@ -43,13 +43,13 @@
     ] {
         let text = format!(r#"{{"count":{value}}}"#);
         let got = read(&text).unwrap_err();
-        assert!(got.contains(told), "{value}: {got}");
+        assert!(got.contains(message), "{value}: {got}");
     }
 }
 
 proptest! {
     #[test]
-    fn whole_numbers_are_kept_exactly(number in 0..(1u64 << 53)) {
+    fn keeps_integers_exactly(number in 0..(1u64 << 53)) {
         let text = format!(r#"{{"count":0,"span":{number}}}"#);
         prop_assert_eq!(read(&text).unwrap().span, Some(number));
     }
--- a/src/routing/tests.rs
+++ b/src/routing/tests.rs
@@ -4,7 +4,7 @@
 use crate::Time;
 
 #[test]
-fn the_less_loaded_of_two_is_taken() {
+fn picks_the_less_loaded_of_two() {
     let all = [
         Candidate::new("a", 5, true),
         Candidate::new("b", 1, true),
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn another_hall_is_taken_when_the_own_is_much_busier() {
+fn picks_another_hall_only_if_its_own_is_much_busier() {
     for (near, far, want) in [(8, 0, 0), (9, 0, 1)] {
         let all = [
             Candidate::new("near", near, true),
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_prefix_keeps_its_server_until_it_is_busy() {
+fn prefix_keeps_its_server_until_it_is_overloaded() {
     let names = ["a", "b", "c", "d"];
     let even: Vec<_> =
         names.iter().map(|n| Candidate::new(n, 4, true)).collect();
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_failing_server_is_left_out_longer_each_time_and_let_back_in() {
+fn backoff_doubles_with_each_failure_up_to_a_limit() {
     let mut health = Health::new();
     let mut now = Time::ZERO;
     let mut spans = Vec::new();
@@ -58,18 +58,18 @@
         spans.push(span.as_millis());
     }
     assert_eq!(spans[..3], [500, 1_000, 2_000]);
-    assert_eq!(spans[7], 16_000, "the span is bounded");
+    assert_eq!(spans[7], 16_000, "the backoff is limited");
     health.record_success();
     health.record_failure(now);
     assert!(health.is_available(now.after(Health::INITIAL_BACKOFF)));
 }
 
 #[test]
-fn a_server_that_rejects_requests_is_left_out_no_longer_than_it_asked() {
+fn backoff_does_not_exceed_retry_after() {
     let at = Time::from_millis;
     let retry_after = Duration::from_millis(3_000);
     let mut health = Health::new();
-    // Concurrent reports must not lengthen the first period.
+    // Concurrent reports must not extend the first backoff.
     health.record_failure_capped(Duration::ZERO, at(1_000));
     assert_eq!(health.failures(), 0);
     for _ in 0..5 {
@@ -81,7 +81,7 @@
         health.record_failure_capped(retry_after, at(from));
         assert!(
             !health.is_available(at(from + 999)),
-            "not left out for longer"
+            "the backoff did not grow"
         );
         assert!(health.is_available(at(from + 3_000)));
     }
