--- a/src/direct/balance.rs
+++ b/src/direct/balance.rs
@@ -106,10 +106,11 @@
     /// a request sent now, in milliseconds.
     pub fn first_token_ms(&self, load: &Load) -> f64 {
         let mut ms = self.backlog_ms(load);
-        let over = (load.total() + 1).saturating_sub(self.slots);
-        ms += f64::from(over) * self.slot_ms;
-        let filled = f64::from(load.total()) / f64::from(self.slots.max(1));
-        ms + filled * LatencyModel::FULL_LOAD_MS
+        let excess = (load.total() + 1).saturating_sub(self.slots);
+        ms += f64::from(excess) * self.slot_ms;
+        let utilization =
+            f64::from(load.total()) / f64::from(self.slots.max(1));
+        ms + utilization * LatencyModel::FULL_LOAD_MS
     }
 
     /// The latency that a fully loaded replica adds over an idle one, in
@@ -155,11 +156,15 @@
     }
 
     fn cost(&self) -> f64 {
-        let far = if self.near { 0.0 } else { Candidate::CROSS_HALL_MS };
+        let cross_hall =
+            if self.near { 0.0 } else { Candidate::CROSS_HALL_MS };
         let offset = self.offset * Candidate::MAX_OFFSET_MS;
         let first = self.latency.first_token_ms(&self.load)
             + Candidate::IDLE_FIRST_TOKEN_MS;
-        first * self.slowdown.max(1.0) + far + offset + self.link_delay_ms
+        first * self.slowdown.max(1.0)
+            + cross_hall
+            + offset
+            + self.link_delay_ms
     }
 }
 
--- a/src/direct/retry_after.rs
+++ b/src/direct/retry_after.rs
@@ -30,7 +30,7 @@
     /// Returns the delay after which the caller may retry. `jitter` is a
     /// random number from 0 to 1.
     pub fn retry_after(self, jitter: f64) -> Duration {
-        let (least, most) = match self {
+        let (min, max) = match self {
             // Capacity frees up as requests end, each of which lasts about a
             // second. A replica that declines is full or changes its version.
             Shortage::NoCapacity | Shortage::Declined => (1_000, 2_000),
@@ -40,12 +40,12 @@
             // Loading weights or starting processes takes seconds.
             Shortage::NoReplica => (2_500, 3_500),
             Shortage::RetryAfter(left) => {
-                let least = left.min(Shortage::MAX_RETRY_AFTER);
-                let least = least.as_millis() as u64;
-                (least, least + 1_000)
+                let min = left.min(Shortage::MAX_RETRY_AFTER);
+                let min = min.as_millis() as u64;
+                (min, min + 1_000)
             }
         };
-        let spread = (most - least) as f64 * jitter.clamp(0.0, 1.0);
-        Duration::from_millis(least + spread as u64)
+        let spread = (max - min) as f64 * jitter.clamp(0.0, 1.0);
+        Duration::from_millis(min + spread as u64)
     }
 }
