--- a/crates/agent/src/drive.rs
+++ b/crates/agent/src/drive.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-use stairhinge::document::{members, wanted};
+use stairhinge::document::{agents_by_hall, assigned_model};
 use stairhinge::request::Ring;
 use stairhinge::serving::{
     Action, Bound, Event, Fence, Lifecycle, Phase, Target,
@@ -138,7 +138,7 @@
         let view = node.view();
         let fleet = view.fleet.as_ref()?;
         let me = node.identity();
-        let model = wanted(fleet, &view.listing, &me.hall, &me.name)?;
+        let model = assigned_model(fleet, &view.listing, &me.hall, &me.name)?;
         let version = model.served();
         let mut manifests = vec![version.manifest()];
         for adapter in model.adapters() {
@@ -313,7 +313,7 @@
         let Some(wanted) = self.life.wanted() else { return true };
         let view = node.view();
         let Some(fleet) = &view.fleet else { return true };
-        let halls = members(fleet, &view.listing, wanted.model());
+        let halls = agents_by_hall(fleet, &view.listing, wanted.model());
         let me = node.identity();
         let Some((_, names)) = halls.into_iter().find(|(h, _)| *h == me.hall)
         else {
--- a/crates/agent/src/fetch.rs
+++ b/crates/agent/src/fetch.rs
@@ -10,7 +10,7 @@
 use http_body_util::BodyExt as _;
 use hyper::body::Incoming;
 use hyper::{Request, Response};
-use stairhinge::document::members;
+use stairhinge::document::agents_by_hall;
 use stairhinge::serving::Target;
 use stairhinge::weights::{
     Chunk, ChunkRequest, Manifest, Puller, Source, Walk,
@@ -118,7 +118,7 @@
     let mut budget = 1;
     let mut patience = agent.settings.patience();
     if let Some(fleet) = &view.fleet {
-        halls = members(fleet, &view.listing, target.model());
+        halls = agents_by_hall(fleet, &view.listing, target.model());
         budget = fleet.budget();
         patience = patience.preferring(fleet.prefer());
     }
--- a/crates/cli/src/cmd/timeline.rs
+++ b/crates/cli/src/cmd/timeline.rs
@@ -4,7 +4,7 @@
 
 use argh::FromArgs;
 use stairhinge::Clock;
-use stairhinge::event::{Event, Filter, merge, svg};
+use stairhinge::event::{Event, Filter, merge, render_svg};
 
 /// merge the logs of many processes into one causal time line
 #[derive(FromArgs)]
@@ -56,7 +56,7 @@
     }
     eprintln!("{} events, {passed} other lines", events.len());
     if let Some(path) = &args.svg {
-        std::fs::write(path, svg(&events))?;
+        std::fs::write(path, render_svg(&events))?;
     }
     Ok(true)
 }
--- a/crates/entry/src/choose.rs
+++ b/crates/entry/src/choose.rs
@@ -7,7 +7,7 @@
 
 use stairhinge::Time;
 use stairhinge::declaration::Fleet;
-use stairhinge::document::{Listing, Presence, Role, members};
+use stairhinge::document::{Listing, Presence, Role, agents_by_hall};
 use stairhinge::routing::{Candidate, Health, pick};
 use stairhinge_shell::node::View;
 
@@ -153,7 +153,7 @@
     let mut names = Vec::new();
     match aim {
         Aim::Model(model) => {
-            for (_, agents) in members(fleet, &view.listing, model) {
+            for (_, agents) in agents_by_hall(fleet, &view.listing, model) {
                 names.extend(agents);
             }
         }
--- a/crates/model/src/config.rs
+++ b/crates/model/src/config.rs
@@ -5,7 +5,7 @@
 //! two processes may exchange, any may restart and forget; the agent's engine
 //! remembers the fence of the last order.
 
-use stairhinge::document::{Acceptance, Document, Seen};
+use stairhinge::document::{Document, LatestDocument, Seen};
 use stairhinge::serving::Fence;
 
 use crate::Spec;
@@ -63,7 +63,7 @@
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct State {
     published: u64,
-    held: Vec<Acceptance>,
+    held: Vec<LatestDocument>,
     engine: Fence,
     fence: Fence,
     /// The revision that the engine was told of by this incarnation.
@@ -82,10 +82,10 @@
 }
 
 impl Config {
-    fn offer(&self, held: &mut Acceptance, revision: u64) -> bool {
+    fn offer(&self, held: &mut LatestDocument, revision: u64) -> bool {
         if self.without == Without::Monotony {
             let newest = held.seen().revision();
-            *held = Acceptance::new();
+            *held = LatestDocument::new();
             return held.offer(document(revision)).is_ok()
                 && revision != newest;
         }
@@ -128,11 +128,11 @@
         for (p, name) in NAMES.iter().enumerate() {
             let mut to = state.clone();
             to.restarts += 1;
-            to.held[p] = Acceptance::new();
+            to.held[p] = LatestDocument::new();
             if p == AGENT {
                 let floor = state.engine.revision();
                 if self.without != Without::Floor {
-                    to.held[p] = Acceptance::above(floor);
+                    to.held[p] = LatestDocument::with_min_revision(floor);
                 }
                 let wall = state.fence.incarnation() + 1;
                 let incarnation = Fence::incarnate(wall, state.engine);
@@ -189,7 +189,7 @@
     fn start(&self) -> State {
         State {
             published: 0,
-            held: vec![Acceptance::new(); NAMES.len()],
+            held: vec![LatestDocument::new(); NAMES.len()],
             engine: Fence::default(),
             fence: Fence::new(1),
             told: 0,
--- a/crates/shell/src/control/convert.rs
+++ b/crates/shell/src/control/convert.rs
@@ -137,7 +137,7 @@
     if head == 0 && tail == 0 {
         return Ok(Pulled::Whole(Document::new(to.revision(), bytes)));
     }
-    Ok(Pulled::Delta(Delta::received(to, head, tail, bytes.to_vec())))
+    Ok(Pulled::Delta(Delta::from_parts(to, head, tail, bytes.to_vec())))
 }
 
 pub(super) fn put_news(news: &News, mut to: schema::news::Builder<'_>) {
--- a/crates/shell/src/node/documents.rs
+++ b/crates/shell/src/node/documents.rs
@@ -5,7 +5,9 @@
 use std::time::Duration;
 
 use stairhinge::declaration::Fleet;
-use stairhinge::document::{Acceptance, Document, Kind, Listing, Seen, Taken};
+use stairhinge::document::{
+    Document, Kind, LatestDocument, Listing, OfferOutcome, Seen,
+};
 use stairhinge::{Code, Error};
 
 use super::state::{Node, lock};
@@ -15,8 +17,8 @@
 /// Both documents as far as they have been taken.
 #[derive(Debug)]
 pub(super) struct Documents {
-    config: Acceptance,
-    listing: Acceptance,
+    config: LatestDocument,
+    listing: LatestDocument,
 }
 
 impl Documents {
@@ -24,12 +26,12 @@
     /// below a revision is taken.
     pub(super) fn above(floor: u64) -> Documents {
         Documents {
-            config: Acceptance::above(floor),
-            listing: Acceptance::new(),
+            config: LatestDocument::with_min_revision(floor),
+            listing: LatestDocument::new(),
         }
     }
 
-    pub(super) fn of(&self, kind: Kind) -> &Acceptance {
+    pub(super) fn of(&self, kind: Kind) -> &LatestDocument {
         match kind {
             Kind::Config => &self.config,
             Kind::Listing => &self.listing,
@@ -43,7 +45,7 @@
     pub fn lead(&self, kind: Kind, holds: Seen) -> Option<Pulled> {
         let documents = lock(&self.documents);
         let acceptance = documents.of(kind);
-        let held = acceptance.held()?;
+        let held = acceptance.current()?;
         if held.revision() <= holds.revision() {
             return None;
         }
@@ -97,16 +99,16 @@
         kind: Kind,
         document: Document,
         from: &str,
-    ) -> Result<Taken, Error> {
+    ) -> Result<OfferOutcome, Error> {
         let mut documents = lock(&self.documents);
         let acceptance = match kind {
             Kind::Config => &mut documents.config,
             Kind::Listing => &mut documents.listing,
         };
-        let judged = acceptance.judge(document.seen());
+        let judged = acceptance.check(document.seen());
         match &judged {
-            Ok(Taken::New) => {}
-            Ok(Taken::Same) => return judged,
+            Ok(OfferOutcome::Accepted) => {}
+            Ok(OfferOutcome::Unchanged) => return judged,
             Err(err) => {
                 if err.code() == Code::OtherDigest {
                     self.event("config.conflict", &[("from", from)]);
@@ -134,7 +136,7 @@
         let event = format!("{}.taken", kind.as_str());
         self.event(&event, &[("revision", &text), ("from", from)]);
         self.changed.send_modify(|n| *n += 1);
-        Ok(Taken::New)
+        Ok(OfferOutcome::Accepted)
     }
 
     /// Pulls a document from a peer that has a newer one.
@@ -145,7 +147,7 @@
         if let Ok(Some(Pulled::Delta(delta))) = &pulled {
             // Another peer may have been quicker; then the base is gone, and
             // the whole document is asked for.
-            let held = lock(&self.documents).of(kind).held().cloned();
+            let held = lock(&self.documents).of(kind).current().cloned();
             let whole = held.map(|old| delta.apply(&old));
             pulled = match whole {
                 Some(Ok(document)) => Ok(Some(Pulled::Whole(document))),
--- a/crates/shell/src/node/feed.rs
+++ b/crates/shell/src/node/feed.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use stairhinge::document::{Document, Duty, Kind, duty};
+use stairhinge::document::{Document, Kind, PlatformAccess, platform_access};
 use stairhinge::{Code, Error, rank};
 
 use super::Node;
@@ -23,14 +23,14 @@
     let mut first = true;
     loop {
         let step = node.identity().step;
-        let now = if first { Duty::Read } else { what(&node) };
+        let now = if first { PlatformAccess::Read } else { what(&node) };
         first = false;
         let wait = match now {
             // A watch that says nothing is no news of the platform, so it
             // ends within the step after which the next rank would ask.
-            Duty::Watch => step,
-            Duty::Read => Duration::ZERO,
-            Duty::Rest => {
+            PlatformAccess::Watch => step,
+            PlatformAccess::Read => Duration::ZERO,
+            PlatformAccess::Idle => {
                 tokio::time::sleep(step / 4).await;
                 continue;
             }
@@ -42,7 +42,7 @@
     }
 }
 
-fn what(node: &Node) -> Duty {
+fn what(node: &Node) -> PlatformAccess {
     let identity = node.identity();
     let mut names = vec![Arc::clone(&identity.name)];
     for instance in node.others(true) {
@@ -50,7 +50,7 @@
     }
     let order = rank::order(b"watch", &names);
     let mine = order.iter().position(|n| *n == identity.name);
-    duty(
+    platform_access(
         mine.unwrap_or_default(),
         identity.watchers,
         node.contact(),
--- a/src/document.rs
+++ b/src/document.rs
@@ -5,19 +5,19 @@
 //! also pass from process to process, so that a hall converges while the
 //! platform's service is down or stale.
 
-mod acceptance;
 mod delta;
-mod duty;
+mod latest_document;
 mod listing;
 mod patch;
 mod placement;
+mod platform_access;
 
-pub use self::acceptance::{Acceptance, Taken};
 pub use self::delta::Delta;
-pub use self::duty::{Duty, duty};
+pub use self::latest_document::{LatestDocument, OfferOutcome};
 pub use self::listing::{Instance, Listing, Presence, Role};
 pub use self::patch::Patch;
-pub use self::placement::{assign, members, wanted};
+pub use self::placement::{agents_by_hall, assign_agents, assigned_model};
+pub use self::platform_access::{PlatformAccess, platform_access};
 
 use std::sync::Arc;
 
--- a/src/document/delta.rs
+++ b/src/document/delta.rs
@@ -31,7 +31,7 @@
     }
 
     /// Returns a difference as it came from another process.
-    pub const fn received(
+    pub const fn from_parts(
         to: Seen,
         head: usize,
         tail: usize,
--- a/src/document/acceptance.rs
+++ b/src/document/latest_document.rs
@@ -7,11 +7,11 @@
 
 /// What became of an offered document.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Taken {
+pub enum OfferOutcome {
     /// It is newer and in force from now on.
-    New,
+    Accepted,
     /// It is the one in force already.
-    Same,
+    Unchanged,
 }
 
 /// Holds the newest document accepted so far.
@@ -19,30 +19,30 @@
 /// The check of the bytes themselves is the caller's: a document that does
 /// not parse must not be offered, or the process would hold on to it.
 #[derive(Clone, Debug, Default, Eq, Hash, PartialEq)]
-pub struct Acceptance {
+pub struct LatestDocument {
     held: Option<Document>,
     floor: u64,
     past: VecDeque<Document>,
 }
 
-impl Acceptance {
+impl LatestDocument {
     /// How many earlier documents are kept for those that lag: a few minutes
     /// at 11,000 changes a day.
-    pub const PAST: usize = 16;
+    pub const MAX_PREVIOUS: usize = 16;
 
     /// Returns one that holds nothing.
-    pub const fn new() -> Acceptance {
-        Acceptance { held: None, floor: 0, past: VecDeque::new() }
+    pub const fn new() -> LatestDocument {
+        LatestDocument { held: None, floor: 0, past: VecDeque::new() }
     }
 
     /// Returns one that holds nothing, of a process that knows from elsewhere
     /// (its engine's fence) that a revision has been in force here.
-    pub const fn above(floor: u64) -> Acceptance {
-        Acceptance { held: None, floor, past: VecDeque::new() }
+    pub const fn with_min_revision(floor: u64) -> LatestDocument {
+        LatestDocument { held: None, floor, past: VecDeque::new() }
     }
 
     /// Returns the document in force.
-    pub fn held(&self) -> Option<&Document> {
+    pub fn current(&self) -> Option<&Document> {
         self.held.as_ref()
     }
 
@@ -57,7 +57,7 @@
     /// # Errors
     ///
     /// [`Code::OlderRevision`] or [`Code::OtherDigest`].
-    pub fn judge(&self, offered: Seen) -> Result<Taken, Error> {
+    pub fn check(&self, offered: Seen) -> Result<OfferOutcome, Error> {
         let held = self.seen();
         let (old, new) = (held.revision(), offered.revision());
         let least = old.max(self.floor);
@@ -68,10 +68,10 @@
             ));
         }
         if new > old {
-            return Ok(Taken::New);
+            return Ok(OfferOutcome::Accepted);
         }
         if held.digest() == offered.digest() {
-            return Ok(Taken::Same);
+            return Ok(OfferOutcome::Unchanged);
         }
         Err(Error::new(
             Code::OtherDigest,
@@ -87,14 +87,17 @@
     ///
     /// # Errors
     ///
-    /// As [`Acceptance::judge`].
-    pub fn offer(&mut self, document: Document) -> Result<Taken, Error> {
-        let taken = self.judge(document.seen())?;
-        if taken == Taken::New
+    /// As [`LatestDocument::check`].
+    pub fn offer(
+        &mut self,
+        document: Document,
+    ) -> Result<OfferOutcome, Error> {
+        let taken = self.check(document.seen())?;
+        if taken == OfferOutcome::Accepted
             && let Some(old) = self.held.replace(document)
         {
             self.past.push_back(old);
-            if self.past.len() > Acceptance::PAST {
+            if self.past.len() > LatestDocument::MAX_PREVIOUS {
                 self.past.pop_front();
             }
         }
--- a/src/document/placement.rs
+++ b/src/document/placement.rs
@@ -16,7 +16,7 @@
 use crate::rank;
 
 /// Returns the model and the agents assigned to it, for each model of a hall.
-pub fn assign<'a>(
+pub fn assign_agents<'a>(
     fleet: &'a Fleet,
     listing: &Listing,
     hall: &str,
@@ -48,13 +48,13 @@
 }
 
 /// Returns the model that an agent is to serve, if any.
-pub fn wanted<'a>(
+pub fn assigned_model<'a>(
     fleet: &'a Fleet,
     listing: &Listing,
     hall: &str,
     name: &str,
 ) -> Option<&'a Model> {
-    for (model, names) in assign(fleet, listing, hall) {
+    for (model, names) in assign_agents(fleet, listing, hall) {
         if names.iter().any(|n| **n == *name) {
             return Some(model);
         }
@@ -63,14 +63,14 @@
 }
 
 /// Returns the agents that serve a model, by data hall, in declared order.
-pub fn members(
+pub fn agents_by_hall(
     fleet: &Fleet,
     listing: &Listing,
     model: &str,
 ) -> Vec<(Arc<str>, Vec<Arc<str>>)> {
     let mut halls = Vec::new();
     for site in fleet.sites() {
-        let assigned = assign(fleet, listing, site.name());
+        let assigned = assign_agents(fleet, listing, site.name());
         let found = assigned.into_iter().find(|(m, _)| **m.name() == *model);
         let Some((_, names)) = found else { continue };
         if names.is_empty() {
--- a/src/document/duty.rs
+++ b/src/document/platform_access.rs
@@ -10,13 +10,13 @@
 
 /// What a process does about the platform now.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Duty {
+pub enum PlatformAccess {
     /// Hold a watch.
     Watch,
     /// Ask once, for those in charge seem to be silent.
     Read,
     /// Leave it to others.
-    Rest,
+    Idle,
 }
 
 /// Says what a process does, given its rank among the live instances of its
@@ -31,24 +31,28 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use stairhinge::document::{Duty, duty};
+/// use stairhinge::document::{PlatformAccess, platform_access};
 ///
 /// let step = Duration::from_secs(1);
-/// assert_eq!(duty(0, 2, Duration::ZERO, step), Duty::Watch);
-/// assert_eq!(duty(5, 2, Duration::ZERO, step), Duty::Rest);
-/// assert_eq!(duty(5, 2, Duration::from_secs(6), step), Duty::Read);
+/// assert_eq!(platform_access(0, 2, Duration::ZERO, step), PlatformAccess::Watch);
+/// assert_eq!(platform_access(5, 2, Duration::ZERO, step), PlatformAccess::Idle);
+/// assert_eq!(platform_access(5, 2, Duration::from_secs(6), step), PlatformAccess::Read);
 /// ```
-pub fn duty(
+pub fn platform_access(
     rank: usize,
     watchers: usize,
     age: Duration,
     step: Duration,
-) -> Duty {
+) -> PlatformAccess {
     if rank < watchers {
-        return Duty::Watch;
+        return PlatformAccess::Watch;
     }
     let steps = (rank - watchers + 2).min(STEPS_MOST) as u32;
-    if age > step * steps { Duty::Read } else { Duty::Rest }
+    if age > step * steps {
+        PlatformAccess::Read
+    } else {
+        PlatformAccess::Idle
+    }
 }
 
 /// The most steps that any rank waits.
--- a/src/document/tests.rs
+++ b/src/document/tests.rs
@@ -4,8 +4,8 @@
 use proptest::prelude::*;
 
 use super::{
-    Acceptance, Delta, Document, Instance, Listing, Patch, Presence, Role,
-    Taken, assign, members, wanted,
+    Delta, Document, Instance, LatestDocument, Listing, OfferOutcome, Patch,
+    Presence, Role, agents_by_hall, assign_agents, assigned_model,
 };
 use crate::Code;
 use crate::declaration::Fleet;
@@ -16,14 +16,14 @@
 
 #[test]
 fn only_newer_documents_are_taken() {
-    let mut held = Acceptance::new();
-    assert_eq!(held.offer(doc(5, "a")).unwrap(), Taken::New);
-    assert_eq!(held.offer(doc(5, "a")).unwrap(), Taken::Same);
+    let mut held = LatestDocument::new();
+    assert_eq!(held.offer(doc(5, "a")).unwrap(), OfferOutcome::Accepted);
+    assert_eq!(held.offer(doc(5, "a")).unwrap(), OfferOutcome::Unchanged);
     let older = held.offer(doc(4, "b")).unwrap_err();
     assert_eq!(older.code(), Code::OlderRevision);
     let other = held.offer(doc(5, "b")).unwrap_err();
     assert_eq!(other.code(), Code::OtherDigest);
-    assert_eq!(held.offer(doc(6, "b")).unwrap(), Taken::New);
+    assert_eq!(held.offer(doc(6, "b")).unwrap(), OfferOutcome::Accepted);
 }
 
 proptest! {
@@ -47,7 +47,7 @@
 
 #[test]
 fn one_changed_place_makes_a_small_delta() {
-    let mut held = Acceptance::new();
+    let mut held = LatestDocument::new();
     let text = |n: u32| format!("{}replicas: {n}{}", "a".repeat(50_000), "b");
     held.offer(doc(1, &text(4))).unwrap();
     let before = held.seen();
@@ -59,10 +59,10 @@
 
 #[test]
 fn a_process_that_forgot_takes_nothing_below_its_floor() {
-    let mut held = Acceptance::above(5);
+    let mut held = LatestDocument::with_min_revision(5);
     let older = held.offer(doc(4, "a")).unwrap_err();
     assert_eq!(older.code(), Code::OlderRevision);
-    assert_eq!(held.offer(doc(5, "a")).unwrap(), Taken::New);
+    assert_eq!(held.offer(doc(5, "a")).unwrap(), OfferOutcome::Accepted);
 }
 
 proptest! {
@@ -70,7 +70,7 @@
     fn acceptance_never_goes_back(
         offers in prop::collection::vec((0u64..20, 0u8..3), 0..60)
     ) {
-        let mut held = Acceptance::new();
+        let mut held = LatestDocument::new();
         let mut before = held.seen();
         for (revision, text) in offers {
             let _ = held.offer(doc(revision, &text.to_string()));
@@ -127,7 +127,7 @@
         [(4, 4, (4, 4)), (6, 4, (6, 2)), (9, 1, (8, 0))]
     {
         let fleet = fleet(first, second);
-        let assigned = assign(&fleet, &listing, "h");
+        let assigned = assign_agents(&fleet, &listing, "h");
         let counts = (assigned[0].1.len(), assigned[1].1.len());
         assert_eq!(counts, got);
         for name in &assigned[0].1 {
@@ -140,17 +140,17 @@
 fn a_lost_instance_moves_one_replica() {
     let fleet = fleet(4, 0);
     let all = listing(&[Presence::Live; 8]);
-    let before = members(&fleet, &all, "a")[0].1.clone();
+    let before = agents_by_hall(&fleet, &all, "a")[0].1.clone();
     let lost: usize = before[0][1..].parse().unwrap();
     let mut presences = [Presence::Live; 8];
     presences[lost] = Presence::Leaving;
     let less = listing(&presences);
-    let after = members(&fleet, &less, "a")[0].1.clone();
+    let after = agents_by_hall(&fleet, &less, "a")[0].1.clone();
     assert_eq!(after.len(), 4);
     let kept: Vec<&Arc<str>> =
         before.iter().filter(|n| after.contains(n)).collect();
     assert_eq!(kept.len(), 3);
-    assert!(wanted(&fleet, &less, "h", &before[0]).is_none());
+    assert!(assigned_model(&fleet, &less, "h", &before[0]).is_none());
 }
 
 /// Returns a document of records, one of them changed.
--- a/src/event.rs
+++ b/src/event.rs
@@ -8,7 +8,7 @@
 mod timeline;
 
 pub use self::line::Event;
-pub use self::timeline::{Filter, merge, svg};
+pub use self::timeline::{Filter, merge, render_svg};
 
 #[cfg(test)]
 mod tests;
--- a/src/event/tests.rs
+++ b/src/event/tests.rs
@@ -1,4 +1,4 @@
-use super::{Event, Filter, merge, svg};
+use super::{Event, Filter, merge, render_svg};
 use crate::Clock;
 
 fn line(clock: u64, instance: &str, seq: u64, request: &str) -> String {
@@ -50,7 +50,7 @@
 #[test]
 fn a_picture_escapes_what_it_shows() {
     let event = Event::parse(&line(9, "a<b", 0, "<&>")).unwrap();
-    let picture = svg(&[event]);
+    let picture = render_svg(&[event]);
     assert!(picture.contains("a&lt;b") && picture.contains("&lt;&amp;>"));
     assert!(!picture.contains("<&"));
 }
--- a/src/event/timeline.rs
+++ b/src/event/timeline.rs
@@ -55,7 +55,7 @@
 
 /// Draws merged events as an SVG picture: a row an instance, time to the
 /// right, and each event's text where the pointer rests.
-pub fn svg(events: &[Event]) -> String {
+pub fn render_svg(events: &[Event]) -> String {
     let mut rows: BTreeMap<Arc<str>, usize> = BTreeMap::new();
     for event in events {
         rows.entry(Arc::clone(&event.instance)).or_default();
