--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -7,7 +7,7 @@
 
 use arc_swap::ArcSwapOption;
 use bytes::Bytes;
-use stairhinge::request::{Attempts, Keys, Rings};
+use stairhinge::request::{AttemptTable, GuardHistory, KeyTable};
 use stairhinge::serving::{Bound, PauseGuard};
 use stairhinge::weights::{Manifest, Store};
 use stairhinge::{Digest, Time};
@@ -42,9 +42,9 @@
     pub(crate) start: Time,
     pub(crate) store: Mutex<Store<Bytes>>,
     pub(crate) arrived: watch::Sender<u64>,
-    pub(crate) attempts: Mutex<Attempts>,
-    pub(crate) keys: Mutex<Keys>,
-    pub(crate) rings: Mutex<Rings>,
+    pub(crate) attempts: Mutex<AttemptTable>,
+    pub(crate) keys: Mutex<KeyTable>,
+    pub(crate) rings: Mutex<GuardHistory>,
     pub(crate) gate: ArcSwapOption<Bound>,
     /// The revision that the engine has been told of; see `Orders::tell`.
     pub(crate) told: AtomicU64,
@@ -66,7 +66,7 @@
         let most = values.number("guard_keys") as usize;
         let keep = values.millis("keep_ms");
         let start = node.now();
-        let attempts = Attempts::new(node.incarnation(), keep, most);
+        let attempts = AttemptTable::new(node.incarnation(), keep, most);
         Arc::new(Agent {
             start,
             store: Mutex::new(Store::new(values.number("store_mb") << 20)),
@@ -74,7 +74,7 @@
             attempts: Mutex::new(attempts),
             // The window comes with the first declaration; until then no
             // key is granted at all.
-            keys: Mutex::new(Keys::new(start, Duration::ZERO, most)),
+            keys: Mutex::new(KeyTable::new(start, Duration::ZERO, most)),
             rings: Mutex::default(),
             gate: ArcSwapOption::empty(),
             told: AtomicU64::new(0),
@@ -152,15 +152,15 @@
         lock(&self.store)
     }
 
-    pub(crate) fn attempts(&self) -> MutexGuard<'_, Attempts> {
+    pub(crate) fn attempts(&self) -> MutexGuard<'_, AttemptTable> {
         lock(&self.attempts)
     }
 
-    pub(crate) fn keys(&self) -> MutexGuard<'_, Keys> {
+    pub(crate) fn keys(&self) -> MutexGuard<'_, KeyTable> {
         lock(&self.keys)
     }
 
-    pub(crate) fn rings(&self) -> MutexGuard<'_, Rings> {
+    pub(crate) fn rings(&self) -> MutexGuard<'_, GuardHistory> {
         lock(&self.rings)
     }
 
--- a/crates/agent/src/claim.rs
+++ b/crates/agent/src/claim.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use stairhinge::request::{Attempt, Key, Keys};
+use stairhinge::request::{Attempt, Key, KeyTable};
 use stairhinge::serving::Lease;
 use stairhinge::{Code, Error, Ran};
 use stairhinge_shell::control::{ClaimAsk, Control as _};
@@ -58,7 +58,7 @@
             let Some(fleet) = view.fleet.as_ref() else { break };
             let Some(guard) = self.rings().guard(key) else { break };
             let span = self.settings.values.millis("lease_ms");
-            let span = span.min(Keys::lease(fleet.key_window()));
+            let span = span.min(KeyTable::lease_duration(fleet.key_window()));
             let held = Held {
                 key: key.clone(),
                 holder: Arc::clone(&holder),
--- a/crates/agent/src/control.rs
+++ b/crates/agent/src/control.rs
@@ -7,7 +7,7 @@
 use futures::future::BoxFuture;
 use stairhinge::declaration::Fleet;
 use stairhinge::document::{Kind, Seen};
-use stairhinge::request::{Attempt, Claim, Key};
+use stairhinge::request::{Attempt, ClaimDecision, Key};
 use stairhinge::{Code, Error, Ran};
 use stairhinge_shell::control::{
     ClaimAsk, Control, Grant, News, PoisonTold, Pulled, Report,
@@ -21,7 +21,7 @@
 impl Control for Agent {
     fn exchange(&self, from: Report) -> Report {
         let now = self.node.now();
-        self.rings().hear(&from.name, from.config.revision(), now);
+        self.rings().record_revision(&from.name, from.config.revision(), now);
         self.node.hear(from);
         self.node.report()
     }
@@ -70,7 +70,7 @@
         }
         let window = self.window();
         let now = self.node.now();
-        let formers = self.rings().formers(&ask.key, name, window, now);
+        let formers = self.rings().former_guards(&ask.key, name, window, now);
         if ask.former || formers.is_empty() {
             let grant = self.grant(&ask, revision);
             return futures::future::ready(grant).boxed();
@@ -85,7 +85,8 @@
         self.node.event("request.settle", &fields);
         let name = &self.node.identity().name;
         let now = self.node.now();
-        let formers = self.rings().formers(key, name, self.window(), now);
+        let formers =
+            self.rings().former_guards(key, name, self.window(), now);
         for former in formers {
             let Some(addr) = self.node.control_of(&former) else { continue };
             let node = Arc::clone(&self.node);
@@ -138,8 +139,10 @@
         let now = self.node.now();
         let claim = self.keys().claim(&ask.key, &ask.holder, now);
         let (word, result) = match claim {
-            Claim::Granted => ("granted", Ok(())),
-            Claim::Refused(err, wait) => (err.code().name(), Err((err, wait))),
+            ClaimDecision::Granted => ("granted", Ok(())),
+            ClaimDecision::Refused(err, wait) => {
+                (err.code().name(), Err((err, wait)))
+            }
         };
         let fields = [
             ("key", ask.key.as_str()),
--- a/crates/agent/src/drive.rs
+++ b/crates/agent/src/drive.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::Ordering;
 
 use stairhinge::document::{agents_by_hall, assigned_model};
-use stairhinge::request::Ring;
+use stairhinge::request::GuardSet;
 use stairhinge::serving::{
     Action, Bound, Event, Fence, Lifecycle, Phase, Target,
 };
@@ -107,9 +107,9 @@
         }
         self.adopted = fleet.revision();
         let now = self.agent.node.now();
-        self.agent.rings().adopt(Ring::of(fleet), now);
+        self.agent.rings().adopt(GuardSet::from_fleet(fleet), now);
         let (start, window) = (self.agent.start, fleet.key_window());
-        self.agent.keys().widen(start, window);
+        self.agent.keys().set_window(start, window);
         let ms = window.as_millis().to_string();
         self.agent.node.event("guard.window", &[("window_ms", &ms)]);
         self.inform();
--- a/crates/entry/src/admit.rs
+++ b/crates/entry/src/admit.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use stairhinge::declaration::Workspace;
-use stairhinge::request::{Offer, Ticket};
+use stairhinge::request::{AdmissionDecision, Ticket};
 use stairhinge::{Code, Error, Time};
 use stairhinge_shell::http::Failed;
 use tokio::sync::oneshot;
@@ -34,7 +34,7 @@
         let Some(ticket) = self.ticket else { return };
         let mut door = self.entry.door();
         door.waiting.remove(&ticket);
-        let queued = door.admission.leave(ticket);
+        let queued = door.admission.cancel(ticket);
         drop(door);
         if !queued {
             // It was called just now: the place goes to the next.
@@ -55,13 +55,13 @@
         let ticket = {
             let mut door = self.door();
             let noise = rand::random::<f64>();
-            let offer = door.admission.offer(workspace, deadline, now, noise);
+            let offer = door.admission.admit(workspace, deadline, now, noise);
             match offer {
-                Offer::Start => None,
-                Offer::Refuse(err, back) => {
+                AdmissionDecision::Start => None,
+                AdmissionDecision::Refuse(err, back) => {
                     return Err(Failed::new(err).with_back(back));
                 }
-                Offer::Wait(ticket) => {
+                AdmissionDecision::Wait(ticket) => {
                     door.waiting.insert(ticket, tx);
                     Some(ticket)
                 }
@@ -89,7 +89,8 @@
             Ok(Err(_)) | Err(_) => {
                 let why = "the deadline passed while waiting";
                 let err = Error::new(Code::DeadlinePassed, why);
-                let back = stairhinge::request::Admission::LEAST_RETURN;
+                let back =
+                    stairhinge::request::AdmissionControl::MIN_RETRY_AFTER;
                 Err(Failed::new(err).with_back(back))
             }
         }
@@ -116,7 +117,7 @@
     /// Gives a place that nobody took to the next. It says nothing about how
     /// long requests take, so the usual time is left as it is.
     fn pass_on(&self) {
-        let usual = self.door().admission.usual();
+        let usual = self.door().admission.expected_duration();
         self.next(usual);
     }
 
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -5,7 +5,9 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-use stairhinge::request::{Admission, Attempt, Budget, Limits, Ticket};
+use stairhinge::request::{
+    AdmissionControl, AdmissionLimits, Attempt, RetryBudget, Ticket,
+};
 use stairhinge_shell::node::Node;
 use tokio::sync::oneshot;
 
@@ -14,7 +16,7 @@
 
 /// Admission, with those who wait for their ticket to be called.
 pub(crate) struct AdmissionQueue {
-    pub(crate) admission: Admission,
+    pub(crate) admission: AdmissionControl,
     pub(crate) waiting: HashMap<Ticket, oneshot::Sender<()>>,
 }
 
@@ -24,7 +26,7 @@
     pub(crate) settings: Settings,
     pub(crate) door: Mutex<AdmissionQueue>,
     pub(crate) seats: Mutex<AgentLoads>,
-    pub(crate) budget: Mutex<Budget>,
+    pub(crate) budget: Mutex<RetryBudget>,
     seq: AtomicU64,
 }
 
@@ -32,12 +34,13 @@
     /// Returns the state of an entry that has no requests.
     pub fn new(node: Arc<Node>, settings: &Settings) -> Arc<Entry> {
         let values = &settings.values;
-        let limits = Limits::new(
+        let limits = AdmissionLimits::new(
             values.number("running") as usize,
             values.number("queued") as usize,
         );
-        let admission = Admission::new(limits, values.millis("usual_ms"));
-        let budget = Budget::new(
+        let admission =
+            AdmissionControl::new(limits, values.millis("usual_ms"));
+        let budget = RetryBudget::new(
             values.number("retry_percent") as f64 / 100.0,
             values.number("retry_saved") as f64,
         );
@@ -69,7 +72,7 @@
         lock(&self.seats)
     }
 
-    pub(crate) fn budget(&self) -> MutexGuard<'_, Budget> {
+    pub(crate) fn budget(&self) -> MutexGuard<'_, RetryBudget> {
         lock(&self.budget)
     }
 
--- a/crates/entry/src/front.rs
+++ b/crates/entry/src/front.rs
@@ -9,7 +9,9 @@
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
 use stairhinge::poison::{Admission, Refusal, Suspicion};
-use stairhinge::request::{Attempt, Failure, Next, RequestRetry, settle};
+use stairhinge::request::{
+    Attempt, Failure, RequestRetry, RetryDecision, revocation_outcome,
+};
 use stairhinge::{Code, Error, Ran, Time};
 use stairhinge_shell::http::{
     Body, Failed, Handler, Limits, answer, full, read,
@@ -93,7 +95,7 @@
         let now = self.node.now();
         let longest = self.millis("deadline_ms");
         let ask = CheckedRequest::check(&parts, body, fleet, now, longest)?;
-        self.budget().earn();
+        self.budget().record_request();
         let admitted = self.admit(&ask.workspace, ask.deadline).await?;
         let entry = Arc::clone(self);
         let kept = AnswerGuards { entry, admitted, start };
@@ -143,7 +145,7 @@
                 }
                 Err(next) => next,
             };
-            let Next::Final(code, ran) = next else { continue };
+            let RetryDecision::Respond(code, ran) = next else { continue };
             return Err(self.failed(code, ran));
         }
     }
@@ -168,7 +170,7 @@
     }
 
     /// Makes one attempt; what comes next if it fails.
-    async fn attempt(&mut self) -> Result<Answered, Next> {
+    async fn attempt(&mut self) -> Result<Answered, RetryDecision> {
         let suspicion = self.admit_suspect()?;
         let answered = self.send_once(suspicion).await;
         if answered.is_err() {
@@ -180,7 +182,7 @@
     async fn send_once(
         &mut self,
         suspicion: Suspicion,
-    ) -> Result<Answered, Next> {
+    ) -> Result<Answered, RetryDecision> {
         let Some(chosen) = self.entry.choose(&self.ask, &self.tried) else {
             return Err(self.nobody().await);
         };
@@ -195,7 +197,7 @@
         let left = self.left();
         if left.is_zero() {
             let before = self.course.ran();
-            return Err(Next::Final(Code::DeadlinePassed, before));
+            return Err(RetryDecision::Respond(Code::DeadlinePassed, before));
         }
         // A frozen agent takes the connection and says nothing. A streamed
         // answer begins at once, so silence shows; one that is not streamed
@@ -233,7 +235,7 @@
             node.ask_poison(chosen.control, self.ask.fingerprint).await;
         }
         match self.after(failure).await {
-            Next::Revoke => {
+            RetryDecision::Revoke => {
                 Err(self.revoke(&chosen, attempt, incarnation, sent).await)
             }
             next => Err(next),
@@ -241,7 +243,7 @@
     }
 
     /// Admits the request, unless it ends the backend servers that run it.
-    fn admit_suspect(&mut self) -> Result<Suspicion, Next> {
+    fn admit_suspect(&mut self) -> Result<Suspicion, RetryDecision> {
         let node = &self.entry.node;
         let now = node.now();
         let admission = node.poison().admit(self.ask.fingerprint, now);
@@ -256,7 +258,7 @@
             Ran::DidNotRun => Code::Quarantined,
             Ran::MayHaveRun | Ran::Ran => Code::LostBackend,
         };
-        Err(Next::Final(code, before))
+        Err(RetryDecision::Respond(code, before))
     }
 
     async fn read(
@@ -306,7 +308,7 @@
     }
 
     /// Nobody can take it now: wait a little, in bounds.
-    async fn nobody(&mut self) -> Next {
+    async fn nobody(&mut self) -> RetryDecision {
         let now = self.entry.node.now();
         let since = *self.waited.get_or_insert(now);
         let most = self.entry.millis("wait_ms");
@@ -317,12 +319,12 @@
         }
         self.tried.clear();
         tokio::time::sleep(PAUSE).await;
-        Next::Elsewhere
+        RetryDecision::Retry
     }
 
     /// Decides what comes after a failure.
-    async fn after(&mut self, failure: Failure) -> Next {
-        let harm = matches!(failure, Failure::Silent | Failure::Failed(_));
+    async fn after(&mut self, failure: Failure) -> RetryDecision {
+        let harm = matches!(failure, Failure::Unanswered | Failure::Failed(_));
         let more = match failure {
             // Another agent would ask the same guard, or know of the same
             // ends.
@@ -332,7 +334,7 @@
             _ => self.may_move(),
         };
         let next = self.course.failed(failure, more);
-        if next == Next::Elsewhere && !harm && self.tried.len() > 1 {
+        if next == RetryDecision::Retry && !harm && self.tried.len() > 1 {
             // Refused by several: they are switching, or behind.
             tokio::time::sleep(PAUSE).await;
         }
@@ -363,7 +365,7 @@
         attempt: Attempt,
         incarnation: u64,
         sent: Time,
-    ) -> Next {
+    ) -> RetryDecision {
         let node = &self.entry.node;
         let within = self.entry.millis("revoke_ms");
         let word = node
@@ -372,7 +374,7 @@
             .await;
         let since = node.now().since(sent);
         let keep = self.entry.millis("keep_ms");
-        let ran = settle(word.ok(), since, keep);
+        let ran = revocation_outcome(word.ok(), since, keep);
         let more = ran == Ran::DidNotRun && self.may_move();
         self.course.revoked(ran, more)
     }
--- a/crates/entry/src/send.rs
+++ b/crates/entry/src/send.rs
@@ -70,7 +70,7 @@
                 self.seat(&chosen.name, |s| s.health.fail(now));
                 return Err(FailedAttempt::from(match err {
                     CallError::Unsent(_) => Failure::Unsent,
-                    CallError::Silent(_) => Failure::Silent,
+                    CallError::Silent(_) => Failure::Unanswered,
                 }));
             }
         };
--- a/crates/model/src/once.rs
+++ b/crates/model/src/once.rs
@@ -13,7 +13,8 @@
 use std::time::Duration;
 
 use stairhinge::request::{
-    Attempt, Attempts, Claim, Failure, Key, Keys, Next, RequestRetry, settle,
+    Attempt, AttemptTable, ClaimDecision, Failure, Key, KeyTable,
+    RequestRetry, RetryDecision, revocation_outcome,
 };
 use stairhinge::serving::Lease;
 use stairhinge::{Ran, Time};
@@ -83,17 +84,17 @@
         }
     }
 
-    fn attempts(&self, incarnation: u64) -> Attempts {
-        Attempts::new(incarnation, self.keep(), MOST)
+    fn attempts(&self, incarnation: u64) -> AttemptTable {
+        AttemptTable::new(incarnation, self.keep(), MOST)
     }
 
     /// A guard's table; the mutant forgets as early as grants lapse.
-    fn keys(&self, start: Time) -> Keys {
+    fn keys(&self, start: Time) -> KeyTable {
         let window = match self.without {
             Without::Keeping => WINDOW * 2 / 3,
             _ => WINDOW,
         };
-        Keys::new(start, window, MOST)
+        KeyTable::new(start, window, MOST)
     }
 
     fn send(&self, state: &State, next: &mut Vec<(String, State)>) {
@@ -167,11 +168,11 @@
             return (format!("agent {a} goes on with {id} unasked"), to);
         }
         match to.keys.claim(&key(), id.as_str(), at(state.now)) {
-            Claim::Granted => {
+            ClaimDecision::Granted => {
                 to.entries[e].tries[i].at = At::Granted(state.now);
                 (format!("guard grants the key to {id}"), to)
             }
-            Claim::Refused(err, _) => {
+            ClaimDecision::Refused(err, _) => {
                 self.end(&mut to, e, i, Ran::DidNotRun);
                 (format!("guard refuses {id}: {}", err.code().name()), to)
             }
@@ -188,7 +189,7 @@
         let mut to = state.clone();
         let id = name(e, i);
         let a = state.entries[e].tries[i].agent;
-        let lease = Lease::new(at(since), Keys::lease(WINDOW));
+        let lease = Lease::new(at(since), KeyTable::lease_duration(WINDOW));
         let fresh = lease.holds(at(state.now));
         if !fresh && self.without != Without::Lease {
             self.end(&mut to, e, i, Ran::DidNotRun);
@@ -269,13 +270,14 @@
         let since = now.since(at(attempt.sent));
         let ran = match self.without {
             Without::Settle => word.unwrap_or(Ran::MayHaveRun),
-            _ => settle(word, since, self.keep()),
+            _ => revocation_outcome(word, since, self.keep()),
         };
         let entry = &mut to.entries[e];
         entry.tries[i].said = Some(ran);
         let more = entry.tries.len() < self.most(e);
-        entry.course.failed(Failure::Silent, more);
-        if let Next::Final(_, ran) = entry.course.revoked(ran, more) {
+        entry.course.failed(Failure::Unanswered, more);
+        if let RetryDecision::Respond(_, ran) = entry.course.revoked(ran, more)
+        {
             entry.answer = Some(ran);
         }
         let said = word.map_or("silence", Ran::as_str);
@@ -324,7 +326,9 @@
             answer: None,
         };
         // The guard has been up for long: exploration starts when it hears.
-        let deaf = (WINDOW + Keys::lease(WINDOW)).as_millis() as u64 / TICK;
+        let deaf = (WINDOW + KeyTable::lease_duration(WINDOW)).as_millis()
+            as u64
+            / TICK;
         State {
             now: deaf,
             restarts: 0,
--- a/crates/model/src/once/state.rs
+++ b/crates/model/src/once/state.rs
@@ -1,7 +1,7 @@
 //! What one state of the explored system holds.
 
 use stairhinge::Ran;
-use stairhinge::request::{Attempts, Keys, RequestRetry};
+use stairhinge::request::{AttemptTable, KeyTable, RequestRetry};
 
 /// Where one attempt is at its agent.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub(super) struct Agent {
     pub(super) incarnation: u64,
-    pub(super) attempts: Attempts,
+    pub(super) attempts: AttemptTable,
 }
 
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
@@ -46,7 +46,7 @@
 pub struct State {
     pub(super) now: u64,
     pub(super) restarts: u8,
-    pub(super) keys: Keys,
+    pub(super) keys: KeyTable,
     pub(super) agents: Vec<Agent>,
     pub(super) entries: Vec<Entry>,
     /// When the request ran.
--- a/src/request/admission.rs
+++ b/src/request/admission.rs
@@ -17,15 +17,15 @@
 
 /// Bounds of one entry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Limits {
+pub struct AdmissionLimits {
     running: usize,
     queued: usize,
 }
 
-impl Limits {
+impl AdmissionLimits {
     /// Returns bounds on requests running and, for each workspace, queued.
-    pub const fn new(running: usize, queued: usize) -> Limits {
-        Limits { running, queued }
+    pub const fn new(running: usize, queued: usize) -> AdmissionLimits {
+        AdmissionLimits { running, queued }
     }
 }
 
@@ -35,7 +35,7 @@
 
 /// What becomes of a request that asks for admission.
 #[derive(Clone, Debug)]
-pub enum Offer {
+pub enum AdmissionDecision {
     /// It starts now.
     Start,
     /// It waits until its ticket is called.
@@ -53,8 +53,8 @@
 
 /// The admission of one entry.
 #[derive(Clone, Debug)]
-pub struct Admission {
-    limits: Limits,
+pub struct AdmissionControl {
+    limits: AdmissionLimits,
     running: usize,
     tickets: u64,
     pass: f64,
@@ -62,17 +62,17 @@
     usual: Duration,
 }
 
-impl Admission {
+impl AdmissionControl {
     /// How much one finished request moves the usual duration.
     const GAIN: f64 = 0.1;
 
     /// The shortest time after which a refused caller may come back.
-    pub const LEAST_RETURN: Duration = Duration::from_millis(500);
+    pub const MIN_RETRY_AFTER: Duration = Duration::from_millis(500);
 
     /// Returns the admission of an entry with nothing running. `usual` is
     /// how long a request is taken to run until some have finished.
-    pub fn new(limits: Limits, usual: Duration) -> Admission {
-        Admission {
+    pub fn new(limits: AdmissionLimits, usual: Duration) -> AdmissionControl {
+        AdmissionControl {
             limits,
             running: 0,
             tickets: 0,
@@ -84,23 +84,23 @@
 
     /// Takes in a request that must start before `deadline`. `noise` between
     /// 0 and 1 spreads the returns of those refused.
-    pub fn offer(
+    pub fn admit(
         &mut self,
         workspace: &Workspace,
         deadline: Time,
         now: Time,
         noise: f64,
-    ) -> Offer {
+    ) -> AdmissionDecision {
         let idle = self.lines.values().all(|l| l.waiting.is_empty());
         if idle && self.running < self.limits.running {
             self.advance(workspace);
             self.running += 1;
-            return Offer::Start;
+            return AdmissionDecision::Start;
         }
         let wait = self.wait(workspace);
         let line = self.line(workspace);
         let queued = line.waiting.len();
-        let back = Admission::spread(wait, noise);
+        let back = AdmissionControl::spread(wait, noise);
         if queued >= self.limits.queued {
             let err = Error::new(
                 Code::Overloaded,
@@ -110,7 +110,7 @@
                     self.limits.queued
                 ),
             );
-            return Offer::Refuse(err, back);
+            return AdmissionDecision::Refuse(err, back);
         }
         if now.after(wait) > deadline {
             let err = Error::new(
@@ -121,13 +121,13 @@
                     deadline.since(now).as_millis()
                 ),
             );
-            return Offer::Refuse(err, back);
+            return AdmissionDecision::Refuse(err, back);
         }
         self.tickets += 1;
         let ticket = Ticket(self.tickets);
         let line = self.line(workspace);
         line.waiting.push_back((ticket, deadline));
-        Offer::Wait(ticket)
+        AdmissionDecision::Wait(ticket)
     }
 
     /// Takes note that a running request ended after `span`, and returns the
@@ -135,14 +135,15 @@
     pub fn finish(&mut self, span: Duration, now: Time) -> Vec<Ticket> {
         self.running = self.running.saturating_sub(1);
         let usual = self.usual.as_secs_f64();
-        let moved = usual + Admission::GAIN * (span.as_secs_f64() - usual);
+        let moved =
+            usual + AdmissionControl::GAIN * (span.as_secs_f64() - usual);
         self.usual = Duration::from_secs_f64(moved);
         self.call(now)
     }
 
     /// Takes note that a waiting caller has gone; false if it was called
     /// already.
-    pub fn leave(&mut self, ticket: Ticket) -> bool {
+    pub fn cancel(&mut self, ticket: Ticket) -> bool {
         for line in self.lines.values_mut() {
             let before = line.waiting.len();
             line.waiting.retain(|(t, _)| *t != ticket);
@@ -191,7 +192,7 @@
         let pass = self.pass;
         let name = Arc::clone(workspace.name());
         let line = self.lines.entry(name).or_default();
-        line.weight = Admission::weight(workspace);
+        line.weight = AdmissionControl::weight(workspace);
         // A workspace that was idle does not save up for a burst.
         if line.waiting.is_empty() {
             line.pass = line.pass.max(pass);
@@ -207,7 +208,7 @@
     /// How long a workspace's next request would wait: those of its own
     /// queue, at its share of the rate at which requests end.
     fn wait(&self, workspace: &Workspace) -> Duration {
-        let mine = Admission::weight(workspace);
+        let mine = AdmissionControl::weight(workspace);
         let mut total = mine;
         let mut own = 0;
         for (name, line) in &self.lines {
@@ -224,12 +225,12 @@
     }
 
     fn spread(wait: Duration, noise: f64) -> Duration {
-        let base = wait.max(Admission::LEAST_RETURN);
+        let base = wait.max(AdmissionControl::MIN_RETRY_AFTER);
         base.mul_f64(1.0 + noise.clamp(0.0, 1.0))
     }
 
     /// Returns how long a request is taken to run.
-    pub fn usual(&self) -> Duration {
+    pub fn expected_duration(&self) -> Duration {
         self.usual
     }
 
--- a/src/request/attempt.rs
+++ b/src/request/attempt.rs
@@ -11,24 +11,24 @@
 
 impl Key {
     /// The most bytes of a key.
-    pub const LONGEST: usize = 128;
+    pub const MAX_BYTES: usize = 128;
 
     /// Returns the key of a workspace's request. Workspaces do not share
     /// keys, so that one cannot take another's.
     ///
     /// # Errors
     ///
-    /// [`Code::BadHeader`] unless `text` has 1 to [`Key::LONGEST`] visible
+    /// [`Code::BadHeader`] unless `text` has 1 to [`Key::MAX_BYTES`] visible
     /// ASCII characters.
     pub fn new(workspace: &str, text: &str) -> Result<Key, Error> {
-        let fits = (1..=Key::LONGEST).contains(&text.len());
+        let fits = (1..=Key::MAX_BYTES).contains(&text.len());
         if !fits || !text.bytes().all(|b| b.is_ascii_graphic()) {
             return Err(Error::new(
                 Code::BadHeader,
                 format_args!(
                     "key of {} bytes, allowed: 1 to {} visible ASCII",
                     text.len(),
-                    Key::LONGEST
+                    Key::MAX_BYTES
                 ),
             ));
         }
--- a/src/request/attempts.rs
+++ b/src/request/attempt_table.rs
@@ -20,7 +20,7 @@
 
 /// The attempts of one incarnation of an agent.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub struct Attempts {
+pub struct AttemptTable {
     incarnation: u64,
     keep: Duration,
     most: usize,
@@ -28,11 +28,11 @@
     ended: VecDeque<(Time, Attempt)>,
 }
 
-impl Attempts {
+impl AttemptTable {
     /// Returns an empty table of an incarnation, which remembers an attempt
     /// for `keep` after its end and at most `most` attempts at a time.
-    pub fn new(incarnation: u64, keep: Duration, most: usize) -> Attempts {
-        Attempts {
+    pub fn new(incarnation: u64, keep: Duration, most: usize) -> AttemptTable {
+        AttemptTable {
             incarnation,
             keep,
             most,
--- a/src/request/guard.rs
+++ b/src/request/guards.rs
@@ -16,21 +16,21 @@
 
 /// The guards under one declaration.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Ring {
+pub struct GuardSet {
     revision: u64,
     members: Arc<[Arc<str>]>,
 }
 
-impl Ring {
+impl GuardSet {
     /// Returns the ring of a declaration.
-    pub fn of(fleet: &Fleet) -> Ring {
+    pub fn from_fleet(fleet: &Fleet) -> GuardSet {
         let names = fleet.backends().iter().map(|b| Arc::clone(b.name()));
-        Ring::new(fleet.revision(), names.collect())
+        GuardSet::new(fleet.revision(), names.collect())
     }
 
     /// Returns a ring of named guards, in force from a revision on.
-    pub fn new(revision: u64, members: Vec<Arc<str>>) -> Ring {
-        Ring { revision, members: members.into() }
+    pub fn new(revision: u64, members: Vec<Arc<str>>) -> GuardSet {
+        GuardSet { revision, members: members.into() }
     }
 
     /// Returns the guard of a key; none if no backend server is declared.
@@ -45,36 +45,36 @@
 
 #[derive(Clone, Debug)]
 struct Former {
-    ring: Ring,
+    ring: GuardSet,
     until: u64,
     since: Time,
 }
 
 /// The ring in force and those before it that may still matter.
 #[derive(Clone, Debug, Default)]
-pub struct Rings {
-    current: Option<Ring>,
+pub struct GuardHistory {
+    current: Option<GuardSet>,
     former: Vec<Former>,
     heard: HashMap<Arc<str>, (u64, Time)>,
 }
 
-impl Rings {
+impl GuardHistory {
     /// The most earlier rings that are remembered; the oldest goes first.
-    pub const MOST_FORMER: usize = 8;
+    pub const MAX_FORMER: usize = 8;
 
     /// Returns one without any ring.
-    pub fn new() -> Rings {
-        Rings::default()
+    pub fn new() -> GuardHistory {
+        GuardHistory::default()
     }
 
     /// Takes the ring of a new declaration.
-    pub fn adopt(&mut self, ring: Ring, now: Time) {
+    pub fn adopt(&mut self, ring: GuardSet, now: Time) {
         if let Some(old) = self.current.take()
             && old.members != ring.members
         {
             let until = ring.revision;
             self.former.push(Former { ring: old, until, since: now });
-            if self.former.len() > Rings::MOST_FORMER {
+            if self.former.len() > GuardHistory::MAX_FORMER {
                 self.former.remove(0);
             }
         }
@@ -82,7 +82,12 @@
     }
 
     /// Takes note that a process was heard at a revision of the declaration.
-    pub fn hear(&mut self, name: &Arc<str>, revision: u64, now: Time) {
+    pub fn record_revision(
+        &mut self,
+        name: &Arc<str>,
+        revision: u64,
+        now: Time,
+    ) {
         let known = self.heard.get(name).is_some_and(|(r, _)| *r >= revision);
         if !known {
             self.heard.insert(Arc::clone(name), (revision, now));
@@ -101,7 +106,7 @@
     /// since it was heard under the later ring: until then it may have
     /// granted the key itself. One that is no longer declared is taken to be
     /// gone, as its operator says, and is waited for during one window.
-    pub fn formers(
+    pub fn former_guards(
         &self,
         key: &Key,
         me: &str,
--- a/src/request/keys.rs
+++ b/src/request/key_table.rs
@@ -16,7 +16,7 @@
 
 /// A guard's answer to a claim.
 #[derive(Clone, Debug)]
-pub enum Claim {
+pub enum ClaimDecision {
     /// The holder may run the request.
     Granted,
     /// It may not, and where it may later, when.
@@ -32,7 +32,7 @@
 
 /// The keys that one guard has granted.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub struct Keys {
+pub struct KeyTable {
     hold: Duration,
     most: usize,
     deaf: Time,
@@ -40,9 +40,9 @@
     order: VecDeque<(Time, Key)>,
 }
 
-impl Keys {
+impl KeyTable {
     /// Returns how long after its claim a grant may be acted on, for a window.
-    pub fn lease(window: Duration) -> Duration {
+    pub fn lease_duration(window: Duration) -> Duration {
         window / 2
     }
 
@@ -50,14 +50,14 @@
     /// may have been acted on, so that two runs of a key are never closer
     /// than a window.
     fn hold(window: Duration) -> Duration {
-        window + Keys::lease(window)
+        window + KeyTable::lease_duration(window)
     }
 
     /// Returns the table of a guard that started at `start` and has forgotten
     /// what it granted before, with a window and a bound on its size.
-    pub fn new(start: Time, window: Duration, most: usize) -> Keys {
-        let hold = Keys::hold(window);
-        Keys {
+    pub fn new(start: Time, window: Duration, most: usize) -> KeyTable {
+        let hold = KeyTable::hold(window);
+        KeyTable {
             hold,
             most,
             deaf: start.after(hold),
@@ -70,8 +70,8 @@
     ///
     /// A longer one lengthens the wait after a restart as well; a shorter one
     /// never shortens a wait that has begun.
-    pub fn widen(&mut self, start: Time, window: Duration) {
-        self.hold = Keys::hold(window);
+    pub fn set_window(&mut self, start: Time, window: Duration) {
+        self.hold = KeyTable::hold(window);
         self.deaf = self.deaf.max(start.after(self.hold));
     }
 
@@ -79,7 +79,12 @@
     ///
     /// A holder that asks again for its own key gets it again: its first
     /// question may have been answered into a broken connection.
-    pub fn claim(&mut self, key: &Key, holder: &str, now: Time) -> Claim {
+    pub fn claim(
+        &mut self,
+        key: &Key,
+        holder: &str,
+        now: Time,
+    ) -> ClaimDecision {
         self.forget(now);
         if let Some(grant) = self.grants.get(key) {
             return self.known(key, grant, holder);
@@ -90,7 +95,7 @@
                 Code::GuardForgetful,
                 format_args!("guard restarted, key {key}"),
             );
-            return Claim::Refused(err, wait);
+            return ClaimDecision::Refused(err, wait);
         }
         if self.order.len() >= self.most {
             let first = self.order.front().map_or(now, |(at, _)| *at);
@@ -99,17 +104,17 @@
                 Code::GuardFull,
                 format_args!("{} keys remembered", self.most),
             );
-            return Claim::Refused(err, wait);
+            return ClaimDecision::Refused(err, wait);
         }
         let grant = Grant { holder: holder.to_string(), at: now, ran: false };
         self.grants.insert(key.clone(), grant);
         self.order.push_back((now, key.clone()));
-        Claim::Granted
+        ClaimDecision::Granted
     }
 
-    fn known(&self, key: &Key, grant: &Grant, holder: &str) -> Claim {
+    fn known(&self, key: &Key, grant: &Grant, holder: &str) -> ClaimDecision {
         if grant.holder == holder && !grant.ran {
-            return Claim::Granted;
+            return ClaimDecision::Granted;
         }
         let code = if grant.ran {
             Code::DuplicateRan
@@ -117,7 +122,7 @@
             Code::DuplicateRunning
         };
         let err = Error::new(code, format_args!("key {key}"));
-        Claim::Refused(err, Duration::ZERO)
+        ClaimDecision::Refused(err, Duration::ZERO)
     }
 
     /// Takes note of how the holder's request ended. If it did not run the
--- a/src/request/retry.rs
+++ b/src/request/retry.rs
@@ -17,20 +17,20 @@
     /// request runs or ran.
     Duplicate(Code),
     /// It was sent, and the agent was lost before it answered.
-    Silent,
+    Unanswered,
     /// The answer broke off after part of it had gone to the caller.
-    Broke,
+    AnswerBroke,
 }
 
 /// What comes next for a request.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-pub enum Next {
+pub enum RetryDecision {
     /// Try another agent.
-    Elsewhere,
+    Retry,
     /// Ask the agent to revoke the attempt, then decide by its word.
     Revoke,
     /// Answer the caller now.
-    Final(Code, Ran),
+    Respond(Code, Ran),
 }
 
 /// The course of one request over its attempts.
@@ -38,18 +38,18 @@
 /// # Examples
 ///
 /// ```
-/// use stairhinge::request::{RequestRetry, Failure, Next};
+/// use stairhinge::request::{RequestRetry, Failure, RetryDecision};
 /// use stairhinge::{Code, Ran};
 ///
 /// let mut once = RequestRetry::new(false);
-/// assert_eq!(once.failed(Failure::Silent, true), Next::Revoke);
-/// assert_eq!(once.revoked(Ran::DidNotRun, true), Next::Elsewhere);
+/// assert_eq!(once.failed(Failure::Unanswered, true), RetryDecision::Revoke);
+/// assert_eq!(once.revoked(Ran::DidNotRun, true), RetryDecision::Retry);
 ///
 /// // What one attempt may have done is not undone by the next one's refusal.
 /// let mut many = RequestRetry::new(true);
-/// assert_eq!(many.failed(Failure::Silent, true), Next::Elsewhere);
+/// assert_eq!(many.failed(Failure::Unanswered, true), RetryDecision::Retry);
 /// let last = many.failed(Failure::Refused(Code::NotServing), false);
-/// assert_eq!(last, Next::Final(Code::LostBackend, Ran::MayHaveRun));
+/// assert_eq!(last, RetryDecision::Respond(Code::LostBackend, Ran::MayHaveRun));
 /// ```
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct RequestRetry {
@@ -73,47 +73,47 @@
     ///
     /// A request moves only if it is repeatable and nothing of an answer has
     /// gone out, or if the agent said that it did not run.
-    pub fn failed(&mut self, failure: Failure, more: bool) -> Next {
+    pub fn failed(&mut self, failure: Failure, more: bool) -> RetryDecision {
         match failure {
             Failure::Unsent => self.unharmed(Code::NoBackend, more),
             Failure::Refused(code) => self.unharmed(code, more),
             Failure::Failed(code) => self.harmed(code, more),
             Failure::Duplicate(code) => {
                 let ran = code.ran().unwrap_or(Ran::MayHaveRun);
-                Next::Final(code, ran.max(self.before))
+                RetryDecision::Respond(code, ran.max(self.before))
             }
-            Failure::Silent if self.repeatable => {
+            Failure::Unanswered if self.repeatable => {
                 self.harmed(Code::LostBackend, more)
             }
-            Failure::Silent => Next::Revoke,
-            Failure::Broke => self.harmed(Code::AnswerBroke, false),
+            Failure::Unanswered => RetryDecision::Revoke,
+            Failure::AnswerBroke => self.harmed(Code::AnswerBroke, false),
         }
     }
 
     /// Says what comes next once it is settled whether a revoked attempt ran.
-    pub fn revoked(&mut self, ran: Ran, more: bool) -> Next {
+    pub fn revoked(&mut self, ran: Ran, more: bool) -> RetryDecision {
         match ran {
             Ran::DidNotRun => self.unharmed(Code::NoBackend, more),
             Ran::MayHaveRun | Ran::Ran => self.harmed(Code::LostBackend, more),
         }
     }
 
-    fn unharmed(&mut self, code: Code, more: bool) -> Next {
+    fn unharmed(&mut self, code: Code, more: bool) -> RetryDecision {
         if more {
-            return Next::Elsewhere;
+            return RetryDecision::Retry;
         }
         match self.before {
-            Ran::DidNotRun => Next::Final(code, Ran::DidNotRun),
-            before => Next::Final(Code::LostBackend, before),
+            Ran::DidNotRun => RetryDecision::Respond(code, Ran::DidNotRun),
+            before => RetryDecision::Respond(Code::LostBackend, before),
         }
     }
 
-    fn harmed(&mut self, code: Code, more: bool) -> Next {
+    fn harmed(&mut self, code: Code, more: bool) -> RetryDecision {
         self.before = Ran::MayHaveRun;
         if self.repeatable && more {
-            return Next::Elsewhere;
+            return RetryDecision::Retry;
         }
-        Next::Final(code, Ran::MayHaveRun)
+        RetryDecision::Respond(code, Ran::MayHaveRun)
     }
 }
 
@@ -123,7 +123,11 @@
 ///
 /// An entry may have been frozen in between. Beyond half the time that agents
 /// remember, their "did not run" may be a memory lost, so it counts no more.
-pub fn settle(word: Option<Ran>, since: Duration, keep: Duration) -> Ran {
+pub fn revocation_outcome(
+    word: Option<Ran>,
+    since: Duration,
+    keep: Duration,
+) -> Ran {
     match word {
         Some(Ran::DidNotRun) if since * 2 < keep => Ran::DidNotRun,
         Some(Ran::Ran) => Ran::Ran,
--- a/src/request/budget.rs
+++ b/src/request/retry_budget.rs
@@ -6,21 +6,21 @@
 
 /// A bounded number of retries, earned by requests.
 #[derive(Clone, Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     share: f64,
     most: f64,
     left: f64,
 }
 
-impl Budget {
+impl RetryBudget {
     /// Returns a full budget: each request earns `share` of a retry, up to
     /// `most` saved.
-    pub const fn new(share: f64, most: f64) -> Budget {
-        Budget { share, most, left: most }
+    pub const fn new(share: f64, most: f64) -> RetryBudget {
+        RetryBudget { share, most, left: most }
     }
 
     /// Takes note of a request.
-    pub fn earn(&mut self) {
+    pub fn record_request(&mut self) {
         self.left = (self.left + self.share).min(self.most);
     }
 
--- a/src/request/tests.rs
+++ b/src/request/tests.rs
@@ -4,8 +4,9 @@
 use proptest::prelude::*;
 
 use super::{
-    Admission, Attempt, Attempts, Budget, Claim, Failure, Key, Keys, Limits,
-    Next, Offer, RequestRetry, Ring, Rings, settle,
+    AdmissionControl, AdmissionDecision, AdmissionLimits, Attempt,
+    AttemptTable, ClaimDecision, Failure, GuardHistory, GuardSet, Key,
+    KeyTable, RequestRetry, RetryBudget, RetryDecision, revocation_outcome,
 };
 use crate::declaration::Workspace;
 use crate::{Code, Ran, Time};
@@ -22,7 +23,7 @@
 
 #[test]
 fn a_revoked_attempt_never_runs() {
-    let mut table = Attempts::new(7, WINDOW, 100);
+    let mut table = AttemptTable::new(7, WINDOW, 100);
     let a = Attempt::new("e", 1, 1);
     assert_eq!(table.revoke(&a, 7, at(0)), Ran::DidNotRun);
     let late = table.admit(&a, 7, at(1)).unwrap_err();
@@ -31,7 +32,7 @@
 
 #[test]
 fn an_admitted_attempt_is_never_said_not_to_have_run() {
-    let mut table = Attempts::new(7, WINDOW, 100);
+    let mut table = AttemptTable::new(7, WINDOW, 100);
     let a = Attempt::new("e", 1, 1);
     table.admit(&a, 7, at(0)).unwrap();
     assert_eq!(table.revoke(&a, 7, at(1)), Ran::MayHaveRun);
@@ -42,7 +43,7 @@
 
 #[test]
 fn another_incarnation_does_not_vouch_for_the_one_before() {
-    let mut table = Attempts::new(8, WINDOW, 100);
+    let mut table = AttemptTable::new(8, WINDOW, 100);
     let a = Attempt::new("e", 1, 1);
     assert_eq!(table.revoke(&a, 7, at(0)), Ran::MayHaveRun);
     let err = table.admit(&a, 7, at(0)).unwrap_err();
@@ -51,7 +52,7 @@
 
 #[test]
 fn a_full_table_refuses_and_does_not_forget() {
-    let mut table = Attempts::new(1, WINDOW, 2);
+    let mut table = AttemptTable::new(1, WINDOW, 2);
     for i in 0..2 {
         table.admit(&Attempt::new("e", 1, i), 1, at(0)).unwrap();
     }
@@ -67,10 +68,10 @@
 /// 1,500 ms.
 #[test]
 fn a_key_is_granted_once_in_its_window() {
-    let mut keys = Keys::new(at(0), WINDOW, 100);
+    let mut keys = KeyTable::new(at(0), WINDOW, 100);
     let code = |c| match c {
-        Claim::Granted => None,
-        Claim::Refused(err, _) => Some(err.code()),
+        ClaimDecision::Granted => None,
+        ClaimDecision::Refused(err, _) => Some(err.code()),
     };
     let k = key("k");
     let deaf = code(keys.claim(&k, "a", at(1_499)));
@@ -90,27 +91,30 @@
 
 #[test]
 fn a_key_that_did_not_run_is_free_again() {
-    let mut keys = Keys::new(at(0), Duration::ZERO, 100);
-    keys.widen(at(0), WINDOW);
+    let mut keys = KeyTable::new(at(0), Duration::ZERO, 100);
+    keys.set_window(at(0), WINDOW);
     let k = key("k");
-    assert!(matches!(keys.claim(&k, "a", at(1_500)), Claim::Granted));
+    assert!(matches!(keys.claim(&k, "a", at(1_500)), ClaimDecision::Granted));
     keys.settle(&k, "a", Ran::DidNotRun);
-    assert!(matches!(keys.claim(&k, "b", at(2_500)), Claim::Granted));
+    assert!(matches!(keys.claim(&k, "b", at(2_500)), ClaimDecision::Granted));
     // The first grant's place in the order does not free the second one.
     let again = keys.claim(&k, "c", at(3_100));
-    assert!(matches!(again, Claim::Refused(..)), "{again:?}");
+    assert!(matches!(again, ClaimDecision::Refused(..)), "{again:?}");
 }
 
 #[test]
 fn a_full_guard_refuses_and_does_not_forget() {
-    let mut keys = Keys::new(at(0), WINDOW, 1);
-    assert!(matches!(keys.claim(&key("a"), "x", at(1_500)), Claim::Granted));
+    let mut keys = KeyTable::new(at(0), WINDOW, 1);
+    assert!(matches!(
+        keys.claim(&key("a"), "x", at(1_500)),
+        ClaimDecision::Granted
+    ));
     match keys.claim(&key("b"), "x", at(1_900)) {
-        Claim::Refused(err, wait) => {
+        ClaimDecision::Refused(err, wait) => {
             assert_eq!(err.code(), Code::GuardFull);
             assert_eq!(wait, Duration::from_millis(1_100));
         }
-        Claim::Granted => panic!("granted beyond the bound"),
+        ClaimDecision::Granted => panic!("granted beyond the bound"),
     }
 }
 
@@ -120,65 +124,70 @@
 
 #[test]
 fn a_new_guard_asks_the_earlier_one_until_it_is_safe() {
-    let old = Ring::new(1, names(&["a", "b"]));
-    let new = Ring::new(2, names(&["a", "b", "c"]));
+    let old = GuardSet::new(1, names(&["a", "b"]));
+    let new = GuardSet::new(2, names(&["a", "b", "c"]));
     let moved = (0..100)
         .map(|i| key(&i.to_string()))
         .find(|k| new.guard(k).as_deref() == Some("c"));
     let k = moved.unwrap();
     let before = old.guard(&k).unwrap();
-    let mut rings = Rings::new();
+    let mut rings = GuardHistory::new();
     rings.adopt(old, at(0));
-    assert!(rings.formers(&k, "c", WINDOW, at(0)).is_empty());
+    assert!(rings.former_guards(&k, "c", WINDOW, at(0)).is_empty());
     rings.adopt(new, at(100));
-    let ask = |r: &Rings, ms| r.formers(&k, "c", WINDOW, at(ms));
+    let ask = |r: &GuardHistory, ms| r.former_guards(&k, "c", WINDOW, at(ms));
     let asked = vec![before.clone()];
     assert_eq!(ask(&rings, 100), asked);
     assert_eq!(ask(&rings, 90_000), asked, "not heard under it");
-    rings.hear(&before, 1, at(90_000));
+    rings.record_revision(&before, 1, at(90_000));
     assert_eq!(ask(&rings, 99_000), asked, "heard, but behind");
-    rings.hear(&before, 2, at(100_000));
+    rings.record_revision(&before, 2, at(100_000));
     assert_eq!(ask(&rings, 100_999), asked);
     assert!(ask(&rings, 101_000).is_empty());
 }
 
 #[test]
 fn a_guard_taken_out_of_the_declaration_is_waited_for_one_window() {
-    let old = Ring::new(1, names(&["a", "b"]));
+    let old = GuardSet::new(1, names(&["a", "b"]));
     let k = key("k");
     let gone = old.guard(&k).unwrap();
     let stays = if &*gone == "a" { "b" } else { "a" };
-    let mut rings = Rings::new();
+    let mut rings = GuardHistory::new();
     rings.adopt(old, at(0));
-    rings.adopt(Ring::new(2, names(&[stays])), at(100));
-    assert_eq!(rings.formers(&k, stays, WINDOW, at(1_099)), [gone]);
-    assert!(rings.formers(&k, stays, WINDOW, at(1_100)).is_empty());
+    rings.adopt(GuardSet::new(2, names(&[stays])), at(100));
+    assert_eq!(rings.former_guards(&k, stays, WINDOW, at(1_099)), [gone]);
+    assert!(rings.former_guards(&k, stays, WINDOW, at(1_100)).is_empty());
 }
 
 #[test]
 fn what_an_entry_does_after_a_failure() {
-    use Failure::{Broke, Failed, Refused, Silent, Unsent};
-    let not = |code| Next::Final(code, Ran::DidNotRun);
-    let may = |code| Next::Final(code, Ran::MayHaveRun);
+    use Failure::{AnswerBroke, Failed, Refused, Unanswered, Unsent};
+    let not = |code| RetryDecision::Respond(code, Ran::DidNotRun);
+    let may = |code| RetryDecision::Respond(code, Ran::MayHaveRun);
     let full = Refused(Code::NotServing);
     let failed = Failed(Code::EngineLost);
     let again = Failure::Duplicate(Code::DuplicateRan);
     let table = [
         // repeatable, failure, more, next
-        (true, Unsent, true, Next::Elsewhere),
-        (false, Unsent, true, Next::Elsewhere),
+        (true, Unsent, true, RetryDecision::Retry),
+        (false, Unsent, true, RetryDecision::Retry),
         (false, Unsent, false, not(Code::NoBackend)),
-        (false, full, true, Next::Elsewhere),
+        (false, full, true, RetryDecision::Retry),
         (false, full, false, not(Code::NotServing)),
-        (true, Silent, true, Next::Elsewhere),
-        (true, Silent, false, may(Code::LostBackend)),
-        (false, Silent, true, Next::Revoke),
-        (false, Silent, false, Next::Revoke),
-        (true, failed, true, Next::Elsewhere),
+        (true, Unanswered, true, RetryDecision::Retry),
+        (true, Unanswered, false, may(Code::LostBackend)),
+        (false, Unanswered, true, RetryDecision::Revoke),
+        (false, Unanswered, false, RetryDecision::Revoke),
+        (true, failed, true, RetryDecision::Retry),
         (false, failed, true, may(Code::EngineLost)),
-        (false, again, true, Next::Final(Code::DuplicateRan, Ran::Ran)),
-        (true, Broke, true, may(Code::AnswerBroke)),
-        (false, Broke, true, may(Code::AnswerBroke)),
+        (
+            false,
+            again,
+            true,
+            RetryDecision::Respond(Code::DuplicateRan, Ran::Ran),
+        ),
+        (true, AnswerBroke, true, may(Code::AnswerBroke)),
+        (false, AnswerBroke, true, may(Code::AnswerBroke)),
     ];
     for (repeatable, failure, more, next) in table {
         let got = RequestRetry::new(repeatable).failed(failure, more);
@@ -198,21 +207,25 @@
         (None, 1, Ran::MayHaveRun),
     ];
     for (word, since, ran) in table {
-        assert_eq!(settle(word, ms(since), keep), ran, "{word:?} {since}");
+        assert_eq!(
+            revocation_outcome(word, ms(since), keep),
+            ran,
+            "{word:?} {since}"
+        );
     }
 }
 
 #[test]
 fn retries_are_a_share_of_requests() {
-    let mut budget = Budget::new(0.1, 2.0);
+    let mut budget = RetryBudget::new(0.1, 2.0);
     assert!(budget.spend() && budget.spend());
     assert!(!budget.spend());
     for _ in 0..9 {
-        budget.earn();
+        budget.record_request();
     }
     assert!(!budget.spend());
-    budget.earn();
-    budget.earn();
+    budget.record_request();
+    budget.record_request();
     assert!(budget.spend());
 }
 
@@ -221,19 +234,19 @@
 }
 
 /// Offers a request and unwraps its ticket, if it waits.
-fn offer(door: &mut Admission, who: &Workspace) -> Offer {
-    door.offer(who, at(60_000), at(0), 0.0)
+fn admit(door: &mut AdmissionControl, who: &Workspace) -> AdmissionDecision {
+    door.admit(who, at(60_000), at(0), 0.0)
 }
 
 #[test]
 fn shares_hold_under_load_and_nobody_starves() {
-    let limits = Limits::new(10, 1_000);
-    let mut door = Admission::new(limits, Duration::from_millis(1));
+    let limits = AdmissionLimits::new(10, 1_000);
+    let mut door = AdmissionControl::new(limits, Duration::from_millis(1));
     let (large, small) = (space("large", 9), space("small", 1));
     let mut owner = std::collections::HashMap::new();
     for _ in 0..500 {
         for who in [&large, &small] {
-            if let Offer::Wait(ticket) = offer(&mut door, who) {
+            if let AdmissionDecision::Wait(ticket) = admit(&mut door, who) {
                 owner.insert(ticket, Arc::clone(who.name()));
             }
         }
@@ -250,34 +263,34 @@
 
 #[test]
 fn overload_is_refused_at_once_with_when_to_come_back() {
-    let limits = Limits::new(1, 2);
-    let mut door = Admission::new(limits, Duration::from_secs(1));
+    let limits = AdmissionLimits::new(1, 2);
+    let mut door = AdmissionControl::new(limits, Duration::from_secs(1));
     let who = space("w", 1);
-    assert!(matches!(offer(&mut door, &who), Offer::Start));
-    assert!(matches!(offer(&mut door, &who), Offer::Wait(_)));
-    assert!(matches!(offer(&mut door, &who), Offer::Wait(_)));
-    let Offer::Refuse(err, back) = offer(&mut door, &who) else {
+    assert!(matches!(admit(&mut door, &who), AdmissionDecision::Start));
+    assert!(matches!(admit(&mut door, &who), AdmissionDecision::Wait(_)));
+    assert!(matches!(admit(&mut door, &who), AdmissionDecision::Wait(_)));
+    let AdmissionDecision::Refuse(err, back) = admit(&mut door, &who) else {
         panic!("queued beyond the bound");
     };
     assert_eq!(err.code(), Code::Overloaded);
     assert!(back >= Duration::from_secs(3), "{back:?}");
     // A deadline that cannot be met is refused before it is missed.
-    let mut door = Admission::new(limits, Duration::from_secs(1));
-    door.offer(&who, at(500), at(0), 0.0);
-    let late = door.offer(&who, at(500), at(0), 0.0);
-    assert!(matches!(late, Offer::Refuse(..)), "{late:?}");
+    let mut door = AdmissionControl::new(limits, Duration::from_secs(1));
+    door.admit(&who, at(500), at(0), 0.0);
+    let late = door.admit(&who, at(500), at(0), 0.0);
+    assert!(matches!(late, AdmissionDecision::Refuse(..)), "{late:?}");
 }
 
 #[test]
 fn returns_are_spread() {
-    let limits = Limits::new(1, 0);
-    let mut door = Admission::new(limits, Duration::from_secs(1));
+    let limits = AdmissionLimits::new(1, 0);
+    let mut door = AdmissionControl::new(limits, Duration::from_secs(1));
     let who = space("w", 1);
-    door.offer(&who, at(9), at(0), 0.0);
+    door.admit(&who, at(9), at(0), 0.0);
     let mut spans = Vec::new();
     for noise in [0.0, 0.5, 1.0] {
-        match door.offer(&who, at(9), at(0), noise) {
-            Offer::Refuse(_, back) => spans.push(back),
+        match door.admit(&who, at(9), at(0), noise) {
+            AdmissionDecision::Refuse(_, back) => spans.push(back),
             other => panic!("{other:?}"),
         }
     }
@@ -293,16 +306,16 @@
         steps in prop::collection::vec(0u8..4, 0..200)
     ) {
         let mut door =
-            Admission::new(Limits::new(3, 4), Duration::from_millis(1));
+            AdmissionControl::new(AdmissionLimits::new(3, 4), Duration::from_millis(1));
         let spaces = [space("a", 1), space("b", 5)];
         let mut running = 0;
         let mut waiting = Vec::new();
         for step in steps {
             match step {
-                0 | 1 => match offer(&mut door, &spaces[usize::from(step)]) {
-                    Offer::Start => running += 1,
-                    Offer::Wait(ticket) => waiting.push(ticket),
-                    Offer::Refuse(..) => {}
+                0 | 1 => match admit(&mut door, &spaces[usize::from(step)]) {
+                    AdmissionDecision::Start => running += 1,
+                    AdmissionDecision::Wait(ticket) => waiting.push(ticket),
+                    AdmissionDecision::Refuse(..) => {}
                 },
                 2 if running > 0 => {
                     running -= 1;
@@ -312,7 +325,7 @@
                     }
                 }
                 _ => if let Some(ticket) = waiting.pop() {
-                    prop_assert!(door.leave(ticket));
+                    prop_assert!(door.cancel(ticket));
                 },
             }
             prop_assert!(running <= 3);
@@ -326,7 +339,7 @@
     fn a_key_has_one_holder(
         steps in prop::collection::vec((0u8..3, 0u8..3, 0u64..400), 0..80)
     ) {
-        let mut keys = Keys::new(at(0), WINDOW, 100);
+        let mut keys = KeyTable::new(at(0), WINDOW, 100);
         let mut now = 1_500;
         let mut held: Option<(u8, u64)> = None;
         let k = key("k");
@@ -336,7 +349,7 @@
             match step {
                 0 | 1 => {
                     let claim = keys.claim(&k, &name, at(now));
-                    if let Claim::Granted = claim {
+                    if let ClaimDecision::Granted = claim {
                         if let Some((other, since)) = held {
                             let over = now - since >= 1_500;
                             prop_assert!(other == who || over);
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -1,7 +1,7 @@
 //! Recorded time lines of failure runs, replayed through the decision code.
 //!
 //! A trace is the event lines of a run's agents, as `stairhinge timeline`
-//! reads them. Each guard's `Keys` is driven with what its process met, and
+//! reads them. Each guard's `KeyTable` is driven with what its process met, and
 //! must decide as that process did; the outcome of the whole is stated here.
 
 use std::collections::BTreeMap;
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use stairhinge::event::{Event, Filter, merge};
-use stairhinge::request::{Claim, Key, Keys};
+use stairhinge::request::{ClaimDecision, Key, KeyTable};
 use stairhinge::{Ran, Time};
 
 /// What came out of a trace: claims by the word that answered them, and
@@ -25,7 +25,7 @@
 struct Guard {
     incarnation: u64,
     start: Time,
-    keys: Keys,
+    keys: KeyTable,
 }
 
 fn read(name: &str) -> Vec<Event> {
@@ -47,7 +47,7 @@
         let known = guards.get(&name).map(|g| g.incarnation);
         if known != Some(event.incarnation) {
             outcome.restarts += usize::from(known.is_some());
-            let keys = Keys::new(now, Duration::ZERO, 1_000);
+            let keys = KeyTable::new(now, Duration::ZERO, 1_000);
             let incarnation = event.incarnation;
             let guard = Guard { incarnation, start: now, keys };
             guards.insert(Arc::clone(&name), guard);
@@ -58,13 +58,13 @@
             "guard.window" => {
                 window = event.field("window_ms").parse().unwrap();
                 let span = Duration::from_millis(window);
-                guard.keys.widen(guard.start, span);
+                guard.keys.set_window(guard.start, span);
             }
             "request.claim" => {
                 let claim = guard.keys.claim(&Key::received(key), holder, now);
                 let word = match &claim {
-                    Claim::Granted => "granted",
-                    Claim::Refused(err, _) => err.code().name(),
+                    ClaimDecision::Granted => "granted",
+                    ClaimDecision::Refused(err, _) => err.code().name(),
                 };
                 assert_eq!(word, event.field("word"), "{event:?}");
                 *outcome.words.entry(word.into()).or_default() += 1;
