--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -8,7 +8,7 @@
 use arc_swap::ArcSwapOption;
 use bytes::Bytes;
 use stairhinge::request::{AttemptTable, GuardHistory, KeyTable};
-use stairhinge::serving::{Bound, PauseGuard};
+use stairhinge::serving::{LoadedTarget, PauseDetector};
 use stairhinge::weights::{Manifest, Store};
 use stairhinge::{Digest, Time};
 use stairhinge_shell::node::Node;
@@ -45,14 +45,14 @@
     pub(crate) attempts: Mutex<AttemptTable>,
     pub(crate) keys: Mutex<KeyTable>,
     pub(crate) rings: Mutex<GuardHistory>,
-    pub(crate) gate: ArcSwapOption<Bound>,
+    pub(crate) gate: ArcSwapOption<LoadedTarget>,
     /// The revision that the engine has been told of; see `Orders::tell`.
     pub(crate) told: AtomicU64,
     pub(crate) tally: Tally,
     pub(crate) links: Links,
     pub(crate) progress: Mutex<Progress>,
     pub(crate) nudge: Notify,
-    pub(crate) pause: Mutex<PauseGuard>,
+    pub(crate) pause: Mutex<PauseDetector>,
 }
 
 impl Agent {
@@ -82,7 +82,7 @@
             links: Links { up, down },
             progress: Mutex::default(),
             nudge: Notify::new(),
-            pause: Mutex::new(PauseGuard::new(start)),
+            pause: Mutex::new(PauseDetector::new(start)),
             settings: settings.clone(),
             node,
         })
@@ -117,23 +117,23 @@
 
     /// Beats for the guard that notices pauses, until the process stops.
     pub(crate) async fn beat(self: Arc<Agent>, end: Shutdown) {
-        let mut timer = tokio::time::interval(PauseGuard::BEAT);
+        let mut timer = tokio::time::interval(PauseDetector::TICK_INTERVAL);
         loop {
             tokio::select! {
                 _ = timer.tick() => {}
                 () = end.wait() => return,
             }
             let now = self.node.now();
-            lock(&self.pause).beat(now);
+            lock(&self.pause).tick(now);
         }
     }
 
     /// Returns whether this process stood still and has not loaded what is
     /// wanted by now: what it holds may be long outdated elsewhere.
-    pub(crate) fn is_behind(&self, held: &Bound) -> bool {
+    pub(crate) fn is_behind(&self, held: &LoadedTarget) -> bool {
         let now = self.node.now();
         let mut pause = lock(&self.pause);
-        if !pause.is_woken(now) {
+        if !pause.was_paused(now) {
             return false;
         }
         let view = self.node.view();
--- a/crates/agent/src/claim.rs
+++ b/crates/agent/src/claim.rs
@@ -37,7 +37,7 @@
 impl Held {
     /// Checks that the grant is fresh enough to be acted on.
     pub(crate) fn check(&self, agent: &Agent) -> Result<(), Failed> {
-        if self.lease.holds(agent.node.now()) {
+        if self.lease.is_valid(agent.node.now()) {
             return Ok(());
         }
         let why = format!("the grant of key {} has grown old", self.key);
--- a/crates/agent/src/drive.rs
+++ b/crates/agent/src/drive.rs
@@ -7,7 +7,7 @@
 use stairhinge::document::{agents_by_hall, assigned_model};
 use stairhinge::request::GuardSet;
 use stairhinge::serving::{
-    Action, Bound, Event, Fence, Lifecycle, Phase, Target,
+    Action, Event, Fence, Lifecycle, LoadedTarget, Phase, Target,
 };
 use stairhinge::{Code, Digest, Error, Time};
 use stairhinge_shell::Shutdown;
@@ -23,7 +23,7 @@
     /// A target's chunks are all here, or cannot be.
     Fetched(Target, Result<(), Error>),
     /// A load order was answered.
-    Loaded(Target, Result<Bound, Error>),
+    Loaded(Target, Result<LoadedTarget, Error>),
     /// The engine was told of a revision, or could not be.
     Told(Result<Fence, Error>),
 }
@@ -157,7 +157,7 @@
         for action in actions {
             match action {
                 Action::Fetch(target) => self.fetch(target),
-                Action::Stop => self.stop(),
+                Action::StopFetching => self.stop(),
                 Action::Load(target) => self.load(target),
                 Action::Unload => self.unload(),
             }
--- a/crates/agent/src/gate.rs
+++ b/crates/agent/src/gate.rs
@@ -12,7 +12,7 @@
 use hyper::http::request::Parts;
 use hyper::{Method, Request, Response, StatusCode};
 use stairhinge::request::{Attempt, Key};
-use stairhinge::serving::Bound;
+use stairhinge::serving::LoadedTarget;
 use stairhinge::{Code, Error, Ran};
 use stairhinge_shell::http::{
     Body, Failed, Handler, Limits, answer, full, headers, read,
@@ -24,7 +24,7 @@
 /// What a request that goes through the gate is for.
 enum Purpose {
     /// The model engine, under what it has loaded.
-    Model(Arc<Bound>),
+    Model(Arc<LoadedTarget>),
     /// The plain service, under this path.
     Service(String),
 }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -44,7 +44,7 @@
 ) -> Result<(), Error> {
     let (listener, control) = slot.split()?;
     let held = fence(&settings).await;
-    let incarnation = Fence::incarnate(wall(), held);
+    let incarnation = Fence::next_incarnation(wall(), held);
     let identity = Identity::of(&settings.values, Role::Agent);
     let node = Node::new(identity, incarnation, held.revision(), wire);
     node.event("process.started", &[]);
--- a/crates/agent/src/orders.rs
+++ b/crates/agent/src/orders.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use stairhinge::serving::{Bound, Fence, Lease, Target};
+use stairhinge::serving::{Fence, Lease, LoadedTarget, Target};
 use stairhinge::{Code, Error};
 
 use crate::agent::Agent;
@@ -34,7 +34,8 @@
         agent: &Arc<Agent>,
         target: Target,
         wait: Duration,
-    ) -> impl Future<Output = Result<Bound, Error>> + Send + 'static {
+    ) -> impl Future<Output = Result<LoadedTarget, Error>> + Send + 'static
+    {
         let first = self.fence.is_first();
         self.fence = self.fence.next(agent.node.view().revision());
         let fence = self.fence;
@@ -60,7 +61,7 @@
             let client = agent.node.client();
             let addr = agent.settings.backend;
             engine::load(client, addr, fence, &load).await?;
-            Ok(Bound::new(target, fence))
+            Ok(LoadedTarget::new(target, fence))
         }
     }
 
@@ -115,7 +116,7 @@
 /// Not every engine checks fences, so a decision that has grown old, in a
 /// process that was frozen, is not sent.
 fn check(agent: &Agent, lease: Lease) -> Result<(), Error> {
-    if lease.holds(agent.node.now()) {
+    if lease.is_valid(agent.node.now()) {
         return Ok(());
     }
     Err(Error::new(
--- a/crates/agent/src/proxy.rs
+++ b/crates/agent/src/proxy.rs
@@ -9,7 +9,7 @@
 use hyper::header::{CONTENT_TYPE, HeaderValue};
 use hyper::{Request, Response};
 use stairhinge::request::{Attempt, Key};
-use stairhinge::serving::Bound;
+use stairhinge::serving::LoadedTarget;
 use stairhinge::{Code, Error, Ran};
 use stairhinge_shell::http::{
     Body, BodyError, CallError, Failed, headers, stream,
@@ -115,7 +115,7 @@
 /// A request ready for the backend server.
 pub(crate) struct Pass {
     pub(crate) request: Request<Body>,
-    pub(crate) bound: Option<Arc<Bound>>,
+    pub(crate) bound: Option<Arc<LoadedTarget>>,
 }
 
 impl Pass {
@@ -163,7 +163,10 @@
 ///
 /// An engine that checks fences refuses with 409 what it was not bound to;
 /// one that does not has run it, and the answer is withheld.
-fn check(response: &Response<Incoming>, bound: &Bound) -> Result<(), Failed> {
+fn check(
+    response: &Response<Incoming>,
+    bound: &LoadedTarget,
+) -> Result<(), Failed> {
     let text = |name| {
         let value = response.headers().get(name)?;
         value.to_str().ok()
@@ -179,7 +182,7 @@
     }
     let version = text(headers::ENGINE_VERSION).unwrap_or_default();
     let fence = text(headers::FENCE).unwrap_or_default();
-    if bound.fits(version, fence) {
+    if bound.matches(version, fence) {
         return Ok(());
     }
     let (want, under) = (bound.target().version(), bound.fence());
@@ -191,7 +194,7 @@
 /// The head of the answer: the backend server's, less what is between hops.
 fn head(
     response: &Response<Incoming>,
-    bound: Option<&Bound>,
+    bound: Option<&LoadedTarget>,
 ) -> Response<Body> {
     let mut answer = Response::new(stairhinge_shell::http::empty());
     *answer.status_mut() = response.status();
--- a/crates/model/src/config.rs
+++ b/crates/model/src/config.rs
@@ -135,7 +135,7 @@
                     to.held[p] = LatestDocument::with_min_revision(floor);
                 }
                 let wall = state.fence.incarnation() + 1;
-                let incarnation = Fence::incarnate(wall, state.engine);
+                let incarnation = Fence::next_incarnation(wall, state.engine);
                 to.fence = Fence::new(incarnation);
                 to.told = 0;
             }
--- a/crates/model/src/gate.rs
+++ b/crates/model/src/gate.rs
@@ -8,7 +8,7 @@
 
 use stairhinge::Digest;
 use stairhinge::serving::{
-    Action, Bound, Event, Fence, Lifecycle, Phase, Target,
+    Action, Event, Fence, Lifecycle, LoadedTarget, Phase, Target,
 };
 
 use crate::Spec;
@@ -62,9 +62,9 @@
     life: Lifecycle,
     fence: Fence,
     orders: u8,
-    bound: Option<Bound>,
+    bound: Option<LoadedTarget>,
     /// Requests in progress, with what they were bound to.
-    running: Vec<Bound>,
+    running: Vec<LoadedTarget>,
     requests: u8,
     started: bool,
 }
@@ -83,7 +83,7 @@
     agents: Vec<Agent>,
     orders: Vec<Order>,
     engine: Fence,
-    loaded: Option<Bound>,
+    loaded: Option<LoadedTarget>,
     broken: Option<&'static str>,
 }
 
@@ -177,7 +177,7 @@
             if low && self.fences {
                 to.broken = Some("an engine went back to an older agent");
             }
-            let bound = Bound::new(order.target.clone(), order.fence);
+            let bound = LoadedTarget::new(order.target.clone(), order.fence);
             to.engine = order.fence;
             to.loaded = Some(bound.clone());
             let event = Event::Loaded(order.target.clone());
@@ -211,7 +211,7 @@
             Some(l) => (l.target().version().clone(), l.fence().to_string()),
             None => ("".into(), String::new()),
         };
-        let fits = bound.fits(&version, &fence);
+        let fits = bound.matches(&version, &fence);
         if self.fences && !fits {
             next.push((format!("engine refuses {who}'s request"), to));
             return;
--- a/crates/model/src/once.rs
+++ b/crates/model/src/once.rs
@@ -190,7 +190,7 @@
         let id = name(e, i);
         let a = state.entries[e].tries[i].agent;
         let lease = Lease::new(at(since), KeyTable::lease_duration(WINDOW));
-        let fresh = lease.holds(at(state.now));
+        let fresh = lease.is_valid(at(state.now));
         if !fresh && self.without != Without::Lease {
             self.end(&mut to, e, i, Ran::DidNotRun);
             return (format!("agent {a} finds the grant of {id} old"), to);
--- a/src/serving/fence.rs
+++ b/src/serving/fence.rs
@@ -55,7 +55,7 @@
     /// Returns the incarnation that an agent starts under, given its wall
     /// clock in milliseconds and the fence that its engine holds: above both,
     /// so that a clock set back does not lock the agent out.
-    pub const fn incarnate(wall: u64, engine: Fence) -> u64 {
+    pub const fn next_incarnation(wall: u64, engine: Fence) -> u64 {
         if wall > engine.incarnation { wall } else { engine.incarnation + 1 }
     }
 }
@@ -108,7 +108,7 @@
     }
 
     /// Returns whether the order may still be sent.
-    pub fn holds(self, now: Time) -> bool {
+    pub fn is_valid(self, now: Time) -> bool {
         now.since(self.from) <= self.span
     }
 }
--- a/src/serving/lifecycle.rs
+++ b/src/serving/lifecycle.rs
@@ -75,7 +75,7 @@
     /// Fetch this target, instead of any other.
     Fetch(Target),
     /// Stop fetching.
-    Stop,
+    StopFetching,
     /// Order the engine to load this target.
     Load(Target),
     /// Order the engine to drop what it holds.
@@ -132,7 +132,7 @@
         self.ready = None;
         context.push(match target {
             Some(t) => Action::Fetch(t.clone()),
-            None => Action::Stop,
+            None => Action::StopFetching,
         });
         true
     }
--- a/src/serving/bound.rs
+++ b/src/serving/loaded_target.rs
@@ -8,15 +8,15 @@
 /// in the head of its answer, and an answer that does not fit is withheld:
 /// not every engine checks what it is asked for.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub struct Bound {
+pub struct LoadedTarget {
     target: Target,
     fence: Fence,
 }
 
-impl Bound {
+impl LoadedTarget {
     /// Returns what a load order under a fence has brought about.
-    pub const fn new(target: Target, fence: Fence) -> Bound {
-        Bound { target, fence }
+    pub const fn new(target: Target, fence: Fence) -> LoadedTarget {
+        LoadedTarget { target, fence }
     }
 
     /// Returns what is loaded.
@@ -31,7 +31,7 @@
 
     /// Returns whether an answer that echoes a version and a fence comes from
     /// what the request was bound to.
-    pub fn fits(&self, version: &str, fence: &str) -> bool {
+    pub fn matches(&self, version: &str, fence: &str) -> bool {
         **self.target.version() == *version
             && fence.parse().is_ok_and(|f: Fence| f == self.fence)
     }
--- a/src/serving/pause_guard.rs
+++ b/src/serving/pause_detector.rs
@@ -11,33 +11,33 @@
 
 /// Whether the process stood still and has not caught up since.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct PauseGuard {
+pub struct PauseDetector {
     last: Time,
     woken: bool,
 }
 
-impl PauseGuard {
+impl PauseDetector {
     /// How often a process is expected to beat.
-    pub const BEAT: Duration = Duration::from_millis(100);
+    pub const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
     /// A beat that is later than this shows a pause, not load.
-    pub const LONGEST: Duration = Duration::from_millis(1_500);
+    pub const MAX_TICK_GAP: Duration = Duration::from_millis(1_500);
 
     /// Returns a guard of a process that begins now.
-    pub const fn new(now: Time) -> PauseGuard {
-        PauseGuard { last: now, woken: false }
+    pub const fn new(now: Time) -> PauseDetector {
+        PauseDetector { last: now, woken: false }
     }
 
     /// Takes in a beat.
-    pub fn beat(&mut self, now: Time) {
-        self.woken = self.is_woken(now);
+    pub fn tick(&mut self, now: Time) {
+        self.woken = self.was_paused(now);
         self.last = now;
     }
 
     /// Returns whether the process stood still, before or just now, and has
     /// not caught up.
-    pub fn is_woken(&self, now: Time) -> bool {
-        self.woken || now.since(self.last) > PauseGuard::LONGEST
+    pub fn was_paused(&self, now: Time) -> bool {
+        self.woken || now.since(self.last) > PauseDetector::MAX_TICK_GAP
     }
 
     /// Notes that the process has caught up.
--- a/src/serving/tests.rs
+++ b/src/serving/tests.rs
@@ -3,7 +3,8 @@
 use proptest::prelude::*;
 
 use super::{
-    Action, Bound, Event, Fence, Lease, Lifecycle, PauseGuard, Phase, Target,
+    Action, Event, Fence, Lease, Lifecycle, LoadedTarget, PauseDetector,
+    Phase, Target,
 };
 use crate::{Digest, Time};
 
@@ -75,7 +76,7 @@
 fn nothing_wanted_drains_and_unloads() {
     let mut life = serving("1");
     let actions = life.handle(&Event::Wanted(None));
-    assert_eq!(actions, [Action::Stop]);
+    assert_eq!(actions, [Action::StopFetching]);
     assert_eq!(life.phase(), Phase::Draining);
     assert_eq!(life.handle(&Event::Idle), [Action::Unload]);
     assert_eq!(life.phase(), Phase::Absent);
@@ -108,7 +109,7 @@
                 match action {
                     Action::Load(t) => ordered = Some(t),
                     Action::Unload => ordered = None,
-                    Action::Fetch(_) | Action::Stop => {}
+                    Action::Fetch(_) | Action::StopFetching => {}
                 }
             }
             if let Some(target) = life.serving() {
@@ -121,7 +122,7 @@
 #[test]
 fn a_later_agent_outranks_an_earlier_one() {
     let old = Fence::new(10).next(9).next(9);
-    let new = Fence::new(Fence::incarnate(5, old));
+    let new = Fence::new(Fence::next_incarnation(5, old));
     assert!(new > old, "even with its clock set back");
     assert!(old.next(9) > old && new > old.next(9));
     assert_eq!(old.next(3).revision(), 9, "a revision never falls");
@@ -140,7 +141,7 @@
 #[test]
 fn an_answer_fits_only_what_it_was_bound_to() {
     let fence = Fence::new(7).next(1);
-    let bound = Bound::new(target("1"), fence);
+    let bound = LoadedTarget::new(target("1"), fence);
     let table = [
         ("1", "7.1.1", true),
         ("2", "7.1.1", false),
@@ -149,30 +150,30 @@
         ("", "", false),
     ];
     for (version, under, fits) in table {
-        assert_eq!(bound.fits(version, under), fits, "{version} {under}");
+        assert_eq!(bound.matches(version, under), fits, "{version} {under}");
     }
 }
 
 #[test]
 fn a_lease_ends() {
     let lease = Lease::new(Time::from_millis(100), Duration::from_millis(50));
-    assert!(lease.holds(Time::from_millis(150)));
-    assert!(!lease.holds(Time::from_millis(151)));
+    assert!(lease.is_valid(Time::from_millis(150)));
+    assert!(!lease.is_valid(Time::from_millis(151)));
 }
 
 #[test]
 fn a_pause_shows_before_the_next_beat_and_until_it_is_made_up_for() {
     let at = Time::from_millis;
-    let mut guard = PauseGuard::new(at(0));
+    let mut guard = PauseDetector::new(at(0));
     for step in 1..20 {
-        guard.beat(at(step * 100));
+        guard.tick(at(step * 100));
     }
-    assert!(!guard.is_woken(at(2_000)));
+    assert!(!guard.was_paused(at(2_000)));
     // Stopped for five seconds: seen at once, also after the next beat.
-    assert!(guard.is_woken(at(7_000)));
-    guard.beat(at(7_010));
-    guard.beat(at(7_110));
-    assert!(guard.is_woken(at(7_120)));
+    assert!(guard.was_paused(at(7_000)));
+    guard.tick(at(7_010));
+    guard.tick(at(7_110));
+    assert!(guard.was_paused(at(7_120)));
     guard.caught_up(at(7_200));
-    assert!(!guard.is_woken(at(7_210)));
+    assert!(!guard.was_paused(at(7_210)));
 }
