--- a/src/document.rs
+++ b/src/document.rs
@@ -1,9 +1,9 @@
-//! Published documents and how a process takes them.
+//! The documents that the platform publishes, and how a process accepts them.
 //!
-//! Two documents come from the platform: the declaration and the instance
-//! list. Both carry a revision and both only move forward in a process. They
-//! also pass from process to process, so that a hall converges while the
-//! platform's service is down or stale.
+//! The platform publishes two documents: the declaration and the instance
+//! list. Each carries a revision, and a process never replaces a document by
+//! an older revision. Processes also pull documents from one another, so a
+//! data hall converges while the platform's service is down or stale.
 
 mod delta;
 mod latest_document;
@@ -23,7 +23,7 @@
 
 use crate::Digest;
 
-/// Which of the two published documents.
+/// The kind of a published document.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Kind {
     /// The declaration.
@@ -36,7 +36,7 @@
     /// Both kinds.
     pub const ALL: [Kind; 2] = [Kind::Config, Kind::Listing];
 
-    /// Returns the name used in logs and in the platform's paths.
+    /// Returns the name used in logs and in the platform's URL paths.
     pub const fn as_str(self) -> &'static str {
         match self {
             Kind::Config => "config",
@@ -45,7 +45,7 @@
     }
 }
 
-/// How far somebody has got with one document.
+/// The revision of a document that a process holds, with its digest.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct Seen {
     revision: u64,
@@ -53,28 +53,29 @@
 }
 
 impl Seen {
-    /// Returns a mark for a revision and the digest of its bytes.
+    /// Returns the value for a revision and the digest of its bytes.
     pub const fn new(revision: u64, digest: Digest) -> Seen {
         Seen { revision, digest }
     }
 
-    /// Returns the mark of somebody who has seen nothing.
+    /// Returns the value of a process that holds no document: revision 0 and
+    /// the digest of no bytes.
     pub fn nothing() -> Seen {
         Seen { revision: 0, digest: Digest::of(b"") }
     }
 
-    /// Returns the revision; 0 is none.
+    /// Returns the revision; 0 means that no document is held.
     pub const fn revision(self) -> u64 {
         self.revision
     }
 
-    /// Returns the digest of the bytes.
+    /// Returns the digest of the document's bytes.
     pub const fn digest(self) -> Digest {
         self.digest
     }
 }
 
-/// The bytes of one revision of a document.
+/// One revision of a document: its bytes, revision and digest.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct Document {
     seen: Seen,
@@ -82,14 +83,15 @@
 }
 
 impl Document {
-    /// Returns a document with a revision and its bytes.
+    /// Returns the document with the given revision and bytes, and computes
+    /// its digest.
     pub fn new(revision: u64, bytes: impl Into<Arc<[u8]>>) -> Document {
         let bytes = bytes.into();
         let seen = Seen::new(revision, Digest::of(&bytes));
         Document { seen, bytes }
     }
 
-    /// Returns revision and digest.
+    /// Returns the revision together with the digest.
     pub fn seen(&self) -> Seen {
         self.seen
     }
@@ -99,7 +101,7 @@
         self.seen.revision
     }
 
-    /// Returns the bytes.
+    /// Returns the document's bytes.
     pub fn bytes(&self) -> &Arc<[u8]> {
         &self.bytes
     }
--- a/src/document/delta.rs
+++ b/src/document/delta.rs
@@ -1,61 +1,65 @@
-//! The difference between two revisions of a document.
+//! The difference between two revisions of a document, as one replaced range.
 //!
 //! Most changes touch one place of a declaration, and a declaration of the
-//! target size has some hundred kilobytes; sent whole at 11,000 changes a day
-//! it would cost each process more than ten times the control bytes that it
-//! may spend. So a peer that names what it holds gets only what lies between
-//! the parts that did not change.
+//! target size has some hundred kilobytes. Sending it whole at 11,000
+//! changes a day would exceed the control traffic limit of each process more
+//! than ten times. A peer that names the revision it holds therefore receives
+//! only the bytes between the common prefix and the common suffix.
 
 use super::{Document, Seen};
 use crate::{Code, Error};
 
-/// What turns one revision of a document into a later one.
+/// The change from one revision of a document to a later one.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Delta {
     to: Seen,
-    head: usize,
-    tail: usize,
-    middle: Vec<u8>,
+    prefix_len: usize,
+    suffix_len: usize,
+    inserted: Vec<u8>,
 }
 
 impl Delta {
-    /// Returns the difference from `old` to `new`.
+    /// Returns the delta from `old` to `new`.
     pub fn between(old: &Document, new: &Document) -> Delta {
         let (a, b) = (old.bytes(), new.bytes());
-        let head = a.iter().zip(b.iter()).take_while(|(x, y)| x == y).count();
-        let most = a.len().min(b.len()) - head;
-        let ends = a.iter().rev().zip(b.iter().rev());
-        let tail = ends.take(most).take_while(|(x, y)| x == y).count();
-        let middle = b[head..b.len() - tail].to_vec();
-        Delta { to: new.seen(), head, tail, middle }
+        let prefix_len =
+            a.iter().zip(b.iter()).take_while(|(x, y)| x == y).count();
+        let max_suffix_len = a.len().min(b.len()) - prefix_len;
+        let reversed = a.iter().rev().zip(b.iter().rev());
+        let suffix_len =
+            reversed.take(max_suffix_len).take_while(|(x, y)| x == y).count();
+        let inserted = b[prefix_len..b.len() - suffix_len].to_vec();
+        Delta { to: new.seen(), prefix_len, suffix_len, inserted }
     }
 
-    /// Returns a difference as it came from another process.
+    /// Returns a delta from the parts received from another process; see
+    /// [`Delta::parts`].
     pub const fn from_parts(
         to: Seen,
-        head: usize,
-        tail: usize,
-        middle: Vec<u8>,
+        prefix_len: usize,
+        suffix_len: usize,
+        inserted: Vec<u8>,
     ) -> Delta {
-        Delta { to, head, tail, middle }
+        Delta { to, prefix_len, suffix_len, inserted }
     }
 
-    /// Returns the revision and digest that it leads to.
+    /// Returns the revision and digest of the resulting document.
     pub const fn to(&self) -> Seen {
         self.to
     }
 
-    /// Returns the bytes kept from the start and from the end of the old one,
-    /// and those that go between.
+    /// Returns the number of bytes kept from the start of the old document,
+    /// the number kept from its end, and the bytes inserted between the two.
     pub fn parts(&self) -> (usize, usize, &[u8]) {
-        (self.head, self.tail, &self.middle)
+        (self.prefix_len, self.suffix_len, &self.inserted)
     }
 
-    /// Applies it to the document that it was made from.
+    /// Applies the delta to the document that it was computed from.
     ///
     /// # Errors
     ///
-    /// [`Code::OtherDigest`] if what comes out is not what it leads to.
+    /// [`Code::OtherDigest`] if `old` is another document, so that the result
+    /// does not have the expected digest.
     ///
     /// # Examples
     ///
@@ -68,19 +72,27 @@
     /// assert_eq!(delta.apply(&old).unwrap(), new);
     /// ```
     pub fn apply(&self, old: &Document) -> Result<Document, Error> {
-        let bytes = old.bytes();
-        let wrong = || {
-            let why = format!("no way to revision {}", self.to.revision());
-            Error::new(Code::OtherDigest, why)
+        let old_bytes = old.bytes();
+        let mismatch = || {
+            let message = format!(
+                "the delta to revision {} does not apply to the held document",
+                self.to.revision()
+            );
+            Error::new(Code::OtherDigest, message)
         };
-        let kept = self.head.checked_add(self.tail).ok_or_else(wrong)?;
-        if kept > bytes.len() {
-            return Err(wrong());
+        let kept_len = self
+            .prefix_len
+            .checked_add(self.suffix_len)
+            .ok_or_else(mismatch)?;
+        if kept_len > old_bytes.len() {
+            return Err(mismatch());
         }
-        let mut out = bytes[..self.head].to_vec();
-        out.extend_from_slice(&self.middle);
-        out.extend_from_slice(&bytes[bytes.len() - self.tail..]);
-        let new = Document::new(self.to.revision(), out);
-        if new.seen() == self.to { Ok(new) } else { Err(wrong()) }
+        let mut new_bytes = old_bytes[..self.prefix_len].to_vec();
+        new_bytes.extend_from_slice(&self.inserted);
+        new_bytes.extend_from_slice(
+            &old_bytes[old_bytes.len() - self.suffix_len..],
+        );
+        let new = Document::new(self.to.revision(), new_bytes);
+        if new.seen() == self.to { Ok(new) } else { Err(mismatch()) }
     }
 }
--- a/src/document/latest_document.rs
+++ b/src/document/latest_document.rs
@@ -1,113 +1,134 @@
-//! Monotone acceptance: never an older document, never two of one revision.
+//! The newest document that a process has accepted.
+//!
+//! Revisions only increase, and a revision is accepted with one digest only.
 
 use std::collections::VecDeque;
 
 use super::{Delta, Document, Seen};
 use crate::{Code, Error};
 
-/// What became of an offered document.
+/// The result of offering a document.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OfferOutcome {
-    /// It is newer and in force from now on.
+    /// The document is newer than the current one and replaces it.
     Accepted,
-    /// It is the one in force already.
+    /// The document equals the current one.
     Unchanged,
 }
 
-/// Holds the newest document accepted so far.
+/// The newest document accepted so far, with the ones before it.
 ///
-/// The check of the bytes themselves is the caller's: a document that does
-/// not parse must not be offered, or the process would hold on to it.
+/// The caller validates the contents. A document that does not parse must not
+/// be offered: once accepted, it would stay until a newer revision arrives.
 #[derive(Clone, Debug, Default, Eq, Hash, PartialEq)]
 pub struct LatestDocument {
-    held: Option<Document>,
-    floor: u64,
-    past: VecDeque<Document>,
+    current: Option<Document>,
+    min_revision: u64,
+    previous: VecDeque<Document>,
 }
 
 impl LatestDocument {
-    /// How many earlier documents are kept for those that lag: a few minutes
-    /// at 11,000 changes a day.
+    /// The number of previous documents kept to compute deltas for peers that
+    /// lag: a few minutes at 11,000 changes a day.
     pub const MAX_PREVIOUS: usize = 16;
 
-    /// Returns one that holds nothing.
+    /// Returns an instance that holds no document.
     pub const fn new() -> LatestDocument {
-        LatestDocument { held: None, floor: 0, past: VecDeque::new() }
+        LatestDocument {
+            current: None,
+            min_revision: 0,
+            previous: VecDeque::new(),
+        }
     }
 
-    /// Returns one that holds nothing, of a process that knows from elsewhere
-    /// (its engine's fence) that a revision has been in force here.
-    pub const fn with_min_revision(floor: u64) -> LatestDocument {
-        LatestDocument { held: None, floor, past: VecDeque::new() }
+    /// Returns an instance that holds no document and accepts no revision
+    /// below `min_revision`.
+    ///
+    /// A restarted process passes the revision in its engine's fence, which it
+    /// had accepted before the restart.
+    pub const fn with_min_revision(min_revision: u64) -> LatestDocument {
+        LatestDocument {
+            current: None,
+            min_revision,
+            previous: VecDeque::new(),
+        }
     }
 
-    /// Returns the document in force.
+    /// Returns the current document.
     pub fn current(&self) -> Option<&Document> {
-        self.held.as_ref()
+        self.current.as_ref()
     }
 
-    /// Returns how far this process has got.
+    /// Returns the revision and digest of the current document.
     pub fn seen(&self) -> Seen {
-        self.held.as_ref().map_or_else(Seen::nothing, Document::seen)
+        self.current.as_ref().map_or_else(Seen::nothing, Document::seen)
     }
 
-    /// Says whether a document with this mark would be taken. Revision 0
-    /// stands for nothing, so no document may have it.
+    /// Returns what [`LatestDocument::offer`] would return for a document with
+    /// this revision and digest. Revision 0 stands for no document, so a
+    /// document with it is never accepted.
     ///
     /// # Errors
     ///
-    /// [`Code::OlderRevision`] or [`Code::OtherDigest`].
+    /// [`Code::OlderRevision`] if the revision is older than the current or
+    /// the minimum one, [`Code::OtherDigest`] if the current document has the
+    /// same revision and another digest.
     pub fn check(&self, offered: Seen) -> Result<OfferOutcome, Error> {
-        let held = self.seen();
-        let (old, new) = (held.revision(), offered.revision());
-        let least = old.max(self.floor);
-        if new < least {
+        let current = self.seen();
+        let (current_revision, offered_revision) =
+            (current.revision(), offered.revision());
+        let required = current_revision.max(self.min_revision);
+        if offered_revision < required {
             return Err(Error::new(
                 Code::OlderRevision,
-                format_args!("revision {new}, in force: {least}"),
+                format_args!(
+                    "revision {offered_revision}, \
+                     accepted: {required} or newer"
+                ),
             ));
         }
-        if new > old {
+        if offered_revision > current_revision {
             return Ok(OfferOutcome::Accepted);
         }
-        if held.digest() == offered.digest() {
+        if current.digest() == offered.digest() {
             return Ok(OfferOutcome::Unchanged);
         }
         Err(Error::new(
             Code::OtherDigest,
             format_args!(
-                "revision {new} with digest {}, in force: {}",
+                "revision {offered_revision} has digest {}, \
+                 the accepted one {}",
                 offered.digest(),
-                held.digest()
+                current.digest()
             ),
         ))
     }
 
-    /// Takes a document if it is newer than the one in force.
+    /// Accepts a document if it is newer than the current one.
     ///
     /// # Errors
     ///
-    /// As [`LatestDocument::check`].
+    /// The same as [`LatestDocument::check`].
     pub fn offer(
         &mut self,
         document: Document,
     ) -> Result<OfferOutcome, Error> {
-        let taken = self.check(document.seen())?;
-        if taken == OfferOutcome::Accepted
-            && let Some(old) = self.held.replace(document)
+        let outcome = self.check(document.seen())?;
+        if outcome == OfferOutcome::Accepted
+            && let Some(replaced) = self.current.replace(document)
         {
-            self.past.push_back(old);
-            if self.past.len() > LatestDocument::MAX_PREVIOUS {
-                self.past.pop_front();
+            self.previous.push_back(replaced);
+            if self.previous.len() > LatestDocument::MAX_PREVIOUS {
+                self.previous.pop_front();
             }
         }
-        Ok(taken)
+        Ok(outcome)
     }
 
-    /// Returns the difference from what somebody holds to the document in
-    /// force, if what they hold was in force here lately.
+    /// Returns the delta from the document that a peer holds to the current
+    /// one, if the peer's document is among the previous ones kept here.
     pub fn delta(&self, theirs: Seen) -> Option<Delta> {
-        let old = self.past.iter().find(|d| d.seen() == theirs)?;
-        Some(Delta::between(old, self.held.as_ref()?))
+        let base = self.previous.iter().find(|d| d.seen() == theirs)?;
+        Some(Delta::between(base, self.current.as_ref()?))
     }
 }
--- a/src/document/listing.rs
+++ b/src/document/listing.rs
@@ -1,4 +1,6 @@
-//! The platform's list of instances, which lags.
+//! The platform's list of instances.
+//!
+//! The list lags behind the instances that actually run.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,65 +13,65 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// An entry.
+    /// An entry, which takes requests from callers.
     Entry,
-    /// An agent beside a backend server.
+    /// An agent, which runs beside a backend server.
     Agent,
 }
 
-/// What the platform last knew of an instance.
+/// The state of an instance as last known to the platform.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Presence {
-    /// It is believed to run.
+    /// The instance is believed to be running.
     Live,
-    /// It is to go, and gets no new work.
+    /// The instance is going to be removed and receives no new work.
     Leaving,
 }
 
-/// One instance as the platform lists it.
+/// One instance of the platform's list.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Instance {
     /// The instance's name, unique in the fleet.
     pub name: Arc<str>,
-    /// Its data hall.
+    /// The data hall of the instance.
     pub hall: Arc<str>,
-    /// What runs on it.
+    /// Whether an entry or an agent runs on the instance.
     pub role: Role,
-    /// Where it takes requests and serves chunks.
+    /// The address for requests and chunks.
     pub http: SocketAddr,
-    /// Where it takes control calls.
+    /// The address for control calls.
     pub control: SocketAddr,
-    /// Whether it is live or leaving.
+    /// Whether the instance is live or leaving.
     pub presence: Presence,
 }
 
-/// The instance list of one revision.
+/// One revision of the instance list.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Listing {
-    /// Rises with each change.
+    /// The revision, which increases with each change.
     pub revision: u64,
-    /// All instances that the platform knows.
+    /// All instances known to the platform.
     pub instances: Vec<Instance>,
 }
 
 impl Listing {
-    /// Reads the JSON form that the platform publishes.
+    /// Parses the JSON form that the platform publishes.
     ///
     /// # Errors
     ///
-    /// [`Code::MalformedJson`] with the place.
+    /// [`Code::MalformedJson`] with the position of the fault.
     pub fn parse(bytes: &[u8]) -> Result<Listing, Error> {
         serde_json::from_slice(bytes)
             .map_err(|e| Error::new(Code::MalformedJson, e))
     }
 
-    /// Returns the instance with a name.
+    /// Returns the instance with the given name.
     pub fn get(&self, name: &str) -> Option<&Instance> {
         self.instances.iter().find(|i| *i.name == *name)
     }
 
-    /// Returns the instances of a data hall.
+    /// Returns the instances of a data hall, in listed order.
     pub fn hall<'a>(
         &'a self,
         hall: &'a str,
--- a/src/document/patch.rs
+++ b/src/document/patch.rs
@@ -1,9 +1,9 @@
-//! The difference between two texts that change in several places.
+//! The difference between two texts that differ in several indices.
 //!
-//! [`Delta`](super::Delta) keeps the ends of a document. A document of many
-//! records carries its revision near its start and changes somewhere else as
-//! well, so that nearly all of it lies between the two. A patch keeps every
-//! record that both texts have.
+//! A [`Delta`](super::Delta) replaces one range. A document of many records
+//! has its revision near its start and changes in another place as well, so a
+//! delta would contain nearly all of it. A patch refers to every record that
+//! both texts have in common and contains only the others.
 
 use std::collections::HashMap;
 
@@ -11,11 +11,11 @@
 
 use crate::{Code, Digest, Error};
 
-/// What turns one text into a later one.
+/// The change from one text to a later one.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Patch {
     parts: Vec<Part>,
-    /// The digest of the text that comes out.
+    /// The digest of the resulting text.
     digest: String,
 }
 
@@ -23,17 +23,17 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 enum Part {
-    /// So many records of the old text, from this one on.
+    /// Copies records of the old text: the index of the first, and how many.
     Keep(usize, usize),
-    /// New text.
+    /// Inserts text.
     Add(String),
 }
 
-/// What a record of a document ends with.
+/// The last character of each record of a document.
 const RECORD_END: char = '}';
 
 impl Patch {
-    /// Returns the difference from `old` to `new`.
+    /// Returns the patch from `old` to `new`.
     ///
     /// # Examples
     ///
@@ -46,26 +46,28 @@
     /// ```
     pub fn between(old: &str, new: &str) -> Patch {
         let old_records: Vec<&str> = old.split_inclusive(RECORD_END).collect();
-        let mut places: HashMap<&str, usize> = HashMap::new();
-        for (place, record) in old_records.iter().enumerate() {
-            places.entry(record).or_insert(place);
+        let mut indices: HashMap<&str, usize> = HashMap::new();
+        for (index, record) in old_records.iter().enumerate() {
+            indices.entry(record).or_insert(index);
         }
         let mut parts = Vec::new();
         for record in new.split_inclusive(RECORD_END) {
-            // The record after the last one kept, if that is the same: runs
-            // of records are kept whole, also where some stand twice.
+            // Prefers the record after the last one copied, so that a run of
+            // records stays one part even if some of them occur twice.
             let next = match parts.last() {
-                Some(Part::Keep(from, count)) => Some(from + count),
+                Some(Part::Keep(start, count)) => Some(start + count),
                 _ => None,
             };
-            let follows =
+            let continued =
                 next.filter(|n| old_records.get(*n) == Some(&record));
-            let place = follows.or_else(|| places.get(record).copied());
-            match (parts.last_mut(), place) {
-                (Some(Part::Keep(_, count)), Some(_)) if follows.is_some() => {
+            let index = continued.or_else(|| indices.get(record).copied());
+            match (parts.last_mut(), index) {
+                (Some(Part::Keep(_, count)), Some(_))
+                    if continued.is_some() =>
+                {
                     *count += 1;
                 }
-                (_, Some(place)) => parts.push(Part::Keep(place, 1)),
+                (_, Some(index)) => parts.push(Part::Keep(index, 1)),
                 (Some(Part::Add(text)), None) => text.push_str(record),
                 (_, None) => parts.push(Part::Add(record.to_string())),
             }
@@ -74,30 +76,32 @@
         Patch { parts, digest }
     }
 
-    /// Returns about how many bytes it takes on the way.
+    /// Returns the approximate size of the encoded patch in bytes.
     pub fn size(&self) -> usize {
-        const KEEP: usize = 20;
+        const KEEP_BYTES: usize = 20;
         let size = |part: &Part| match part {
-            Part::Keep(..) => KEEP,
+            Part::Keep(..) => KEEP_BYTES,
             Part::Add(text) => text.len(),
         };
         self.parts.iter().map(size).sum()
     }
 
-    /// Applies it to the text that it was made from.
+    /// Applies the patch to the text that it was computed from.
     ///
     /// # Errors
     ///
-    /// [`Code::OtherDigest`] if what comes out is not what it leads to.
+    /// [`Code::OtherDigest`] if `old` is another text, so that the result does
+    /// not have the expected digest.
     pub fn apply(&self, old: &str) -> Result<String, Error> {
         let records: Vec<&str> = old.split_inclusive(RECORD_END).collect();
         let mut new = String::new();
         for part in &self.parts {
             match part {
                 Part::Add(text) => new.push_str(text),
-                Part::Keep(from, count) => {
-                    let end = from.saturating_add(*count);
-                    let kept = records.get(*from..end).ok_or_else(wrong)?;
+                Part::Keep(start, count) => {
+                    let end = start.saturating_add(*count);
+                    let kept =
+                        records.get(*start..end).ok_or_else(mismatch)?;
                     for record in kept {
                         new.push_str(record);
                     }
@@ -107,11 +111,11 @@
         if Digest::of(new.as_bytes()).to_string() == self.digest {
             Ok(new)
         } else {
-            Err(wrong())
+            Err(mismatch())
         }
     }
 }
 
-fn wrong() -> Error {
-    Error::new(Code::OtherDigest, "a patch of another document")
+fn mismatch() -> Error {
+    Error::new(Code::OtherDigest, "the patch was computed from another text")
 }
--- a/src/document/placement.rs
+++ b/src/document/placement.rs
@@ -1,12 +1,14 @@
-//! Which agent is to serve which model.
+//! Which agent serves which model.
 //!
-//! Every process works this out from the declaration and the instance list,
-//! so nobody has to assign anything and an entry knows where to ask before
-//! it has heard from an agent. Models claim instances by priority; within a
-//! hall the rank by hash decides, so a lost instance moves one replica and
-//! not all of them. Where two processes hold different lists they may differ
-//! for a while: an agent's own view decides what it loads, and a request sent
-//! to an agent that does not serve its model is refused and goes elsewhere.
+//! Every process computes the placement from the declaration and the instance
+//! list. There is no coordinator, and an entry knows which agents to ask
+//! before it has received a report from any. Models choose instances in order
+//! of priority. Within a data hall rendezvous hashing selects the instances,
+//! so the loss of an instance moves one replica and not all of them.
+//!
+//! While two processes hold different lists their results may differ. An
+//! agent loads what its own lists say, and it refuses a request for a model
+//! that it does not serve; the entry then tries another agent.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -15,39 +17,40 @@
 use crate::declaration::{Fleet, Model};
 use crate::rank;
 
-/// Returns the model and the agents assigned to it, for each model of a hall.
+/// Returns each declared model with the agents assigned to it in a data hall.
 pub fn assign_agents<'a>(
     fleet: &'a Fleet,
     listing: &Listing,
     hall: &str,
 ) -> Vec<(&'a Model, Vec<Arc<str>>)> {
-    let mut free: HashSet<Arc<str>> = HashSet::new();
+    let mut available: HashSet<Arc<str>> = HashSet::new();
     for instance in listing.hall(hall) {
-        let staying = instance.presence == Presence::Live;
-        if instance.role != Role::Agent || !staying {
+        let live = instance.presence == Presence::Live;
+        if instance.role != Role::Agent || !live {
             continue;
         }
         let declared = fleet.backend(&instance.name);
         if declared.is_some_and(|b| b.service().is_none()) {
-            free.insert(Arc::clone(&instance.name));
+            available.insert(Arc::clone(&instance.name));
         }
     }
     let mut models: Vec<&Model> = fleet.models().iter().collect();
     models.sort_by_key(|m| (m.priority(), Arc::clone(m.name())));
     let mut assigned = Vec::new();
     for model in models {
-        let want = model.replicas(hall) as usize;
-        let mut order = rank::order(model.name().as_bytes(), free.iter());
-        order.truncate(want);
-        for name in &order {
-            free.remove(name);
+        let replica_count = model.replicas(hall) as usize;
+        let mut chosen =
+            rank::order(model.name().as_bytes(), available.iter());
+        chosen.truncate(replica_count);
+        for name in &chosen {
+            available.remove(name);
         }
-        assigned.push((model, order));
+        assigned.push((model, chosen));
     }
     assigned
 }
 
-/// Returns the model that an agent is to serve, if any.
+/// Returns the model assigned to an agent, if any.
 pub fn assigned_model<'a>(
     fleet: &'a Fleet,
     listing: &Listing,
@@ -62,7 +65,8 @@
     None
 }
 
-/// Returns the agents that serve a model, by data hall, in declared order.
+/// Returns the agents assigned to a model by data hall, in the order in which
+/// the halls are declared. Halls without such an agent are left out.
 pub fn agents_by_hall(
     fleet: &Fleet,
     listing: &Listing,
--- a/src/document/platform_access.rs
+++ b/src/document/platform_access.rs
@@ -1,31 +1,36 @@
-//! Who asks the platform.
+//! Which processes call the platform's service.
 //!
-//! The platform's service answers about 2,000 reads a second over all readers
-//! and counts a waiting watch as one. So in each hall only the first-ranked
-//! few hold a watch; the others learn from them. Nobody is told to: each
-//! process works out its own rank, and steps in later the lower it ranks when
-//! news of the platform stops coming. `docs/CAPACITY.md` has the call rate.
+//! The service answers about 2,000 reads a second over all readers, and a
+//! pending watch counts as one read. In each data hall, therefore, only the
+//! few highest-ranked processes hold a watch, and the others receive the
+//! documents from them. No process is assigned this: each computes its own
+//! rank, and when news of the platform stops arriving it reads the platform
+//! itself, later the lower its rank. `docs/CAPACITY.md` has the call rate.
 
 use std::time::Duration;
 
-/// What a process does about the platform now.
+/// How a process accesses the platform now.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PlatformAccess {
-    /// Hold a watch.
+    /// Holds a watch.
     Watch,
-    /// Ask once, for those in charge seem to be silent.
+    /// Reads once, because no news from the watching processes arrives.
     Read,
-    /// Leave it to others.
+    /// Makes no call; other processes pass on what they read.
     Idle,
 }
 
-/// Says what a process does, given its rank among the live instances of its
-/// hall (0 is first), how many are to watch, how old the newest news of the
-/// platform is that has reached it, and the step between ranks.
+/// Returns how a process accesses the platform.
 ///
-/// A process of rank r asks once that age passes (r - watchers + 2) steps, so
-/// the takeover is spread and not a herd. The age is bounded by `steps_most`
-/// steps, so the last-ranked does not wait for ever.
+/// `rank` is its rank among the live instances of its data hall (0 is first),
+/// `watchers` the number of instances that hold a watch, `age` the age of the
+/// newest information from the platform that has reached the process, and
+/// `step` the delay between consecutive ranks.
+///
+/// A process of rank r reads once `age` exceeds (r - watchers + 2) steps, so
+/// that the processes of a hall take over one after another and not all at
+/// once. The delay is at most 30 steps, so that the lowest-ranked process does
+/// not wait indefinitely.
 ///
 /// # Examples
 ///
@@ -34,9 +39,18 @@
 /// use stairhinge::document::{PlatformAccess, platform_access};
 ///
 /// let step = Duration::from_secs(1);
-/// assert_eq!(platform_access(0, 2, Duration::ZERO, step), PlatformAccess::Watch);
-/// assert_eq!(platform_access(5, 2, Duration::ZERO, step), PlatformAccess::Idle);
-/// assert_eq!(platform_access(5, 2, Duration::from_secs(6), step), PlatformAccess::Read);
+/// assert_eq!(
+///     platform_access(0, 2, Duration::ZERO, step),
+///     PlatformAccess::Watch
+/// );
+/// assert_eq!(
+///     platform_access(5, 2, Duration::ZERO, step),
+///     PlatformAccess::Idle
+/// );
+/// assert_eq!(
+///     platform_access(5, 2, Duration::from_secs(6), step),
+///     PlatformAccess::Read
+/// );
 /// ```
 pub fn platform_access(
     rank: usize,
@@ -47,7 +61,7 @@
     if rank < watchers {
         return PlatformAccess::Watch;
     }
-    let steps = (rank - watchers + 2).min(STEPS_MOST) as u32;
+    let steps = (rank - watchers + 2).min(MAX_STEPS) as u32;
     if age > step * steps {
         PlatformAccess::Read
     } else {
@@ -55,5 +69,5 @@
     }
 }
 
-/// The most steps that any rank waits.
-const STEPS_MOST: usize = 30;
+/// The largest number of steps that any rank waits.
+const MAX_STEPS: usize = 30;
--- a/src/document/tests.rs
+++ b/src/document/tests.rs
@@ -15,20 +15,20 @@
 }
 
 #[test]
-fn only_newer_documents_are_taken() {
-    let mut held = LatestDocument::new();
-    assert_eq!(held.offer(doc(5, "a")).unwrap(), OfferOutcome::Accepted);
-    assert_eq!(held.offer(doc(5, "a")).unwrap(), OfferOutcome::Unchanged);
-    let older = held.offer(doc(4, "b")).unwrap_err();
+fn only_newer_documents_are_accepted() {
+    let mut latest = LatestDocument::new();
+    assert_eq!(latest.offer(doc(5, "a")).unwrap(), OfferOutcome::Accepted);
+    assert_eq!(latest.offer(doc(5, "a")).unwrap(), OfferOutcome::Unchanged);
+    let older = latest.offer(doc(4, "b")).unwrap_err();
     assert_eq!(older.code(), Code::OlderRevision);
-    let other = held.offer(doc(5, "b")).unwrap_err();
+    let other = latest.offer(doc(5, "b")).unwrap_err();
     assert_eq!(other.code(), Code::OtherDigest);
-    assert_eq!(held.offer(doc(6, "b")).unwrap(), OfferOutcome::Accepted);
+    assert_eq!(latest.offer(doc(6, "b")).unwrap(), OfferOutcome::Accepted);
 }
 
 proptest! {
     #[test]
-    fn a_delta_leads_to_the_new_document(
+    fn delta_yields_the_new_document_or_is_refused(
         old in prop::collection::vec(0u8..3, 0..40),
         new in prop::collection::vec(0u8..3, 0..40),
         other in prop::collection::vec(0u8..3, 0..40),
@@ -37,44 +37,45 @@
         let new = Document::new(2, new);
         let delta = Delta::between(&old, &new);
         prop_assert_eq!(delta.apply(&old).unwrap(), new.clone());
-        // From any other document it leads there too or is refused.
+        // Applied to any other document, the delta yields the new document
+        // too or is refused.
         let other = Document::new(1, other);
-        if let Ok(found) = delta.apply(&other) {
-            prop_assert_eq!(found, new);
+        if let Ok(result) = delta.apply(&other) {
+            prop_assert_eq!(result, new);
         }
     }
 }
 
 #[test]
-fn one_changed_place_makes_a_small_delta() {
-    let mut held = LatestDocument::new();
+fn delta_of_one_changed_place_is_small() {
+    let mut latest = LatestDocument::new();
     let text = |n: u32| format!("{}replicas: {n}{}", "a".repeat(50_000), "b");
-    held.offer(doc(1, &text(4))).unwrap();
-    let before = held.seen();
-    held.offer(doc(2, &text(5))).unwrap();
-    let delta = held.delta(before).unwrap();
+    latest.offer(doc(1, &text(4))).unwrap();
+    let before = latest.seen();
+    latest.offer(doc(2, &text(5))).unwrap();
+    let delta = latest.delta(before).unwrap();
     assert!(delta.parts().2.len() <= 2);
-    assert!(held.delta(held.seen()).is_none());
+    assert!(latest.delta(latest.seen()).is_none());
 }
 
 #[test]
-fn a_process_that_forgot_takes_nothing_below_its_floor() {
-    let mut held = LatestDocument::with_min_revision(5);
-    let older = held.offer(doc(4, "a")).unwrap_err();
+fn documents_below_the_minimum_revision_are_refused() {
+    let mut latest = LatestDocument::with_min_revision(5);
+    let older = latest.offer(doc(4, "a")).unwrap_err();
     assert_eq!(older.code(), Code::OlderRevision);
-    assert_eq!(held.offer(doc(5, "a")).unwrap(), OfferOutcome::Accepted);
+    assert_eq!(latest.offer(doc(5, "a")).unwrap(), OfferOutcome::Accepted);
 }
 
 proptest! {
     #[test]
-    fn acceptance_never_goes_back(
+    fn accepted_revision_never_decreases(
         offers in prop::collection::vec((0u64..20, 0u8..3), 0..60)
     ) {
-        let mut held = LatestDocument::new();
-        let mut before = held.seen();
+        let mut latest = LatestDocument::new();
+        let mut before = latest.seen();
         for (revision, text) in offers {
-            let _ = held.offer(doc(revision, &text.to_string()));
-            let now = held.seen();
+            let _ = latest.offer(doc(revision, &text.to_string()));
+            let now = latest.seen();
             prop_assert!(now.revision() >= before.revision());
             if now.revision() == before.revision() {
                 prop_assert_eq!(now.digest(), before.digest());
@@ -121,15 +122,15 @@
 }
 
 #[test]
-fn an_instance_serves_one_model_and_priority_goes_first() {
+fn instance_serves_one_model_and_models_choose_by_priority() {
     let listing = listing(&[Presence::Live; 8]);
-    for (first, second, got) in
+    for (first, second, expected) in
         [(4, 4, (4, 4)), (6, 4, (6, 2)), (9, 1, (8, 0))]
     {
         let fleet = fleet(first, second);
         let assigned = assign_agents(&fleet, &listing, "h");
         let counts = (assigned[0].1.len(), assigned[1].1.len());
-        assert_eq!(counts, got);
+        assert_eq!(counts, expected);
         for name in &assigned[0].1 {
             assert!(!assigned[1].1.contains(name));
         }
@@ -137,23 +138,24 @@
 }
 
 #[test]
-fn a_lost_instance_moves_one_replica() {
+fn loss_of_an_instance_moves_one_replica() {
     let fleet = fleet(4, 0);
     let all = listing(&[Presence::Live; 8]);
     let before = agents_by_hall(&fleet, &all, "a")[0].1.clone();
     let lost: usize = before[0][1..].parse().unwrap();
     let mut presences = [Presence::Live; 8];
     presences[lost] = Presence::Leaving;
-    let less = listing(&presences);
-    let after = agents_by_hall(&fleet, &less, "a")[0].1.clone();
+    let remaining = listing(&presences);
+    let after = agents_by_hall(&fleet, &remaining, "a")[0].1.clone();
     assert_eq!(after.len(), 4);
     let kept: Vec<&Arc<str>> =
         before.iter().filter(|n| after.contains(n)).collect();
     assert_eq!(kept.len(), 3);
-    assert!(assigned_model(&fleet, &less, "h", &before[0]).is_none());
+    assert!(assigned_model(&fleet, &remaining, "h", &before[0]).is_none());
 }
 
-/// Returns a document of records, one of them changed.
+/// Returns a document of 120 records, of which the one at index `changed`
+/// differs between revisions.
 fn records(revision: u32, changed: usize) -> String {
     let mut text = format!("{{\"revision\":{revision},\"routes\":[");
     for i in 0..120 {
@@ -167,7 +169,7 @@
 }
 
 #[test]
-fn a_patch_is_small_though_two_places_changed() {
+fn patch_of_two_changed_places_is_small() {
     let (old, new) = (records(7, 30), records(8, 90));
     let patch = Patch::between(&old, &new);
     assert_eq!(patch.apply(&old).unwrap(), new);
@@ -179,15 +181,15 @@
 
 proptest! {
     #[test]
-    fn a_patch_leads_to_the_new_text_or_is_refused(
+    fn patch_yields_the_new_text_or_is_refused(
         old in "[ab}]{0,40}",
         new in "[ab}]{0,40}",
         other in "[ab}]{0,40}",
     ) {
         let patch = Patch::between(&old, &new);
         prop_assert_eq!(patch.apply(&old).unwrap(), new.clone());
-        if let Ok(found) = patch.apply(&other) {
-            prop_assert_eq!(found, new);
+        if let Ok(result) = patch.apply(&other) {
+            prop_assert_eq!(result, new);
         }
     }
 }
