--- a/src/request.rs
+++ b/src/request.rs
@@ -1,12 +1,15 @@
-//! What may become of one request.
+//! Decisions about one request: admission, retries and deduplication.
 //!
-//! The rules that keep a claim notice or a clarification letter from going
-//! out twice live here, as decisions without I/O:
+//! A request that must not repeat, such as one that files a claim notice or
+//! sends a clarification letter, must not run twice. The rules for this are
+//! implemented here without I/O:
 //!
-//! - an [`AttemptTable`] table at each agent knows every attempt of this
-//!   incarnation, so a revoked one is refused when it arrives late;
-//! - a [`KeyTable`] table at the key's guard grants each key once in its window;
-//! - a [`RequestRetry`] says what an entry does when an attempt fails.
+//! - an [`AttemptTable`] at each agent records every attempt of the agent's
+//!   current incarnation, so that a revoked attempt is refused if it arrives
+//!   later;
+//! - a [`KeyTable`] at the guard of an idempotency key grants the key once
+//!   within its window;
+//! - a [`RequestRetry`] decides what an entry does when an attempt fails.
 
 mod admission;
 mod attempt;
--- a/src/request/admission.rs
+++ b/src/request/admission.rs
@@ -1,12 +1,13 @@
-//! Admission under load: bounded, by deadline, fair between workspaces.
+//! Admission control: bounded, deadline-aware and fair between workspaces.
 //!
 //! An entry runs a bounded number of requests and queues a bounded number
-//! for each workspace. The queue is served by stride scheduling (Waldspurger
-//! and Weihl, 1995): each workspace advances by 1/weight for each request
-//! started, and the one furthest behind goes next. The weight is the declared
-//! share, doubled for each step of priority, so a high priority goes first
-//! without ever starving a low one. A request that would not start before its
-//! deadline is refused at once, with when to come back.
+//! for each workspace. The queues are served by stride scheduling (Waldspurger
+//! and Weihl, 1995): the pass value of a workspace advances by 1/weight for
+//! each request started, and the workspace with the lowest pass goes next. The
+//! weight is the declared share, doubled for each step of priority, so that a
+//! high priority is preferred without starving a low one. A request that
+//! would not start before its deadline is refused at once, with the time after
+//! which to retry.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -15,7 +16,7 @@
 use crate::declaration::Workspace;
 use crate::{Code, Error, Time};
 
-/// Bounds of one entry.
+/// The limits of an entry's admission.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct AdmissionLimits {
     running: usize,
@@ -23,84 +24,93 @@
 }
 
 impl AdmissionLimits {
-    /// Returns bounds on requests running and, for each workspace, queued.
+    /// Returns limits on the requests running at the entry and on those queued
+    /// for each workspace.
     pub const fn new(running: usize, queued: usize) -> AdmissionLimits {
         AdmissionLimits { running, queued }
     }
 }
 
-/// A place in the queue.
+/// Identifies a queued request.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Ticket(u64);
 
-/// What becomes of a request that asks for admission.
+/// The decision on a request that asks for admission.
 #[derive(Clone, Debug)]
 pub enum AdmissionDecision {
-    /// It starts now.
+    /// The request starts now.
     Start,
-    /// It waits until its ticket is called.
+    /// The request is queued until its ticket is returned by
+    /// [`AdmissionControl::finish`].
     Wait(Ticket),
-    /// It is refused; the caller may come back after the given span.
+    /// The request is refused; the caller may retry after the given time.
     Refuse(Error, Duration),
 }
 
+/// The queue of one workspace, with its state in the stride scheduler.
 #[derive(Clone, Debug, Default)]
-struct Line {
+struct WorkspaceQueue {
     pass: f64,
     weight: f64,
     waiting: VecDeque<(Ticket, Time)>,
 }
 
-/// The admission of one entry.
+/// The admission control of one entry.
 #[derive(Clone, Debug)]
 pub struct AdmissionControl {
     limits: AdmissionLimits,
     running: usize,
-    tickets: u64,
+    last_ticket: u64,
     pass: f64,
-    lines: BTreeMap<Arc<str>, Line>,
-    usual: Duration,
+    queues: BTreeMap<Arc<str>, WorkspaceQueue>,
+    expected_duration: Duration,
 }
 
 impl AdmissionControl {
-    /// How much one finished request moves the usual duration.
-    const GAIN: f64 = 0.1;
+    /// The weight of one finished request in the moving average of durations.
+    const EWMA_WEIGHT: f64 = 0.1;
 
-    /// The shortest time after which a refused caller may come back.
+    /// The shortest time after which a refused caller may retry.
     pub const MIN_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-    /// Returns the admission of an entry with nothing running. `usual` is
-    /// how long a request is taken to run until some have finished.
-    pub fn new(limits: AdmissionLimits, usual: Duration) -> AdmissionControl {
+    /// Returns the admission control of an entry with nothing running.
+    /// `expected_duration` is the initial value of the moving average of
+    /// request durations.
+    pub fn new(
+        limits: AdmissionLimits,
+        expected_duration: Duration,
+    ) -> AdmissionControl {
         AdmissionControl {
             limits,
             running: 0,
-            tickets: 0,
+            last_ticket: 0,
             pass: 0.0,
-            lines: BTreeMap::new(),
-            usual,
+            queues: BTreeMap::new(),
+            expected_duration,
         }
     }
 
-    /// Takes in a request that must start before `deadline`. `noise` between
-    /// 0 and 1 spreads the returns of those refused.
+    /// Starts, queues or refuses a request that must start before `deadline`.
+    ///
+    /// `jitter`, from 0 to 1, lengthens the retry time of a refused request by
+    /// up to a factor of 2, so that refused callers do not retry all at once.
     pub fn admit(
         &mut self,
         workspace: &Workspace,
         deadline: Time,
         now: Time,
-        noise: f64,
+        jitter: f64,
     ) -> AdmissionDecision {
-        let idle = self.lines.values().all(|l| l.waiting.is_empty());
+        let idle = self.queues.values().all(|q| q.waiting.is_empty());
         if idle && self.running < self.limits.running {
             self.advance(workspace);
             self.running += 1;
             return AdmissionDecision::Start;
         }
-        let wait = self.wait(workspace);
-        let line = self.line(workspace);
-        let queued = line.waiting.len();
-        let back = AdmissionControl::spread(wait, noise);
+        let expected_wait = self.expected_wait(workspace);
+        let queue = self.queue_mut(workspace);
+        let queued = queue.waiting.len();
+        let retry_after = AdmissionControl::retry_after(expected_wait, jitter);
         if queued >= self.limits.queued {
             let err = Error::new(
                 Code::Overloaded,
@@ -110,94 +120,96 @@
                     self.limits.queued
                 ),
             );
-            return AdmissionDecision::Refuse(err, back);
+            return AdmissionDecision::Refuse(err, retry_after);
         }
-        if now.after(wait) > deadline {
+        if now.after(expected_wait) > deadline {
             let err = Error::new(
                 Code::Overloaded,
                 format_args!(
-                    "would wait {} ms, allowed: {}",
-                    wait.as_millis(),
+                    "expected wait of {} ms, allowed: {} ms",
+                    expected_wait.as_millis(),
                     deadline.since(now).as_millis()
                 ),
             );
-            return AdmissionDecision::Refuse(err, back);
+            return AdmissionDecision::Refuse(err, retry_after);
         }
-        self.tickets += 1;
-        let ticket = Ticket(self.tickets);
-        let line = self.line(workspace);
-        line.waiting.push_back((ticket, deadline));
+        self.last_ticket += 1;
+        let ticket = Ticket(self.last_ticket);
+        let queue = self.queue_mut(workspace);
+        queue.waiting.push_back((ticket, deadline));
         AdmissionDecision::Wait(ticket)
     }
 
-    /// Takes note that a running request ended after `span`, and returns the
-    /// tickets called to start now.
-    pub fn finish(&mut self, span: Duration, now: Time) -> Vec<Ticket> {
+    /// Records that a running request ended after `duration`, and returns the
+    /// tickets of the queued requests that start now.
+    pub fn finish(&mut self, duration: Duration, now: Time) -> Vec<Ticket> {
         self.running = self.running.saturating_sub(1);
-        let usual = self.usual.as_secs_f64();
-        let moved =
-            usual + AdmissionControl::GAIN * (span.as_secs_f64() - usual);
-        self.usual = Duration::from_secs_f64(moved);
-        self.call(now)
+        let average = self.expected_duration.as_secs_f64();
+        let updated = average
+            + AdmissionControl::EWMA_WEIGHT
+                * (duration.as_secs_f64() - average);
+        self.expected_duration = Duration::from_secs_f64(updated);
+        self.start_queued(now)
     }
 
-    /// Takes note that a waiting caller has gone; false if it was called
-    /// already.
+    /// Removes a queued request whose caller has gone. Returns false if the
+    /// request is not queued any more, as when it has been started.
     pub fn cancel(&mut self, ticket: Ticket) -> bool {
-        for line in self.lines.values_mut() {
-            let before = line.waiting.len();
-            line.waiting.retain(|(t, _)| *t != ticket);
-            if line.waiting.len() < before {
+        for queue in self.queues.values_mut() {
+            let before = queue.waiting.len();
+            queue.waiting.retain(|(t, _)| *t != ticket);
+            if queue.waiting.len() < before {
                 return true;
             }
         }
         false
     }
 
-    fn call(&mut self, now: Time) -> Vec<Ticket> {
-        let mut called = Vec::new();
+    fn start_queued(&mut self, now: Time) -> Vec<Ticket> {
+        let mut started = Vec::new();
         while self.running < self.limits.running {
-            let Some(ticket) = self.pick(now) else { break };
+            let Some(ticket) = self.dequeue(now) else { break };
             self.running += 1;
-            called.push(ticket);
+            started.push(ticket);
         }
-        called
+        started
     }
 
-    /// Takes the ticket of the workspace furthest behind. One whose deadline
-    /// has passed is left out; its shell has given up on it by then.
-    fn pick(&mut self, now: Time) -> Option<Ticket> {
-        for line in self.lines.values_mut() {
-            while line.waiting.front().is_some_and(|(_, d)| *d < now) {
-                line.waiting.pop_front();
+    /// Dequeues the next request of the workspace with the lowest pass.
+    /// Requests whose deadline has passed are dropped: the entry has answered
+    /// them by then.
+    fn dequeue(&mut self, now: Time) -> Option<Ticket> {
+        for queue in self.queues.values_mut() {
+            while queue.waiting.front().is_some_and(|(_, d)| *d < now) {
+                queue.waiting.pop_front();
             }
         }
-        let line = self
-            .lines
+        let queue = self
+            .queues
             .values_mut()
-            .filter(|l| !l.waiting.is_empty())
+            .filter(|q| !q.waiting.is_empty())
             .min_by(|a, b| a.pass.total_cmp(&b.pass))?;
-        let (ticket, _) = line.waiting.pop_front()?;
-        self.pass = self.pass.max(line.pass);
-        line.pass += 1.0 / line.weight;
+        let (ticket, _) = queue.waiting.pop_front()?;
+        self.pass = self.pass.max(queue.pass);
+        queue.pass += 1.0 / queue.weight;
         Some(ticket)
     }
 
     fn advance(&mut self, workspace: &Workspace) {
-        let line = self.line(workspace);
-        line.pass += 1.0 / line.weight;
+        let queue = self.queue_mut(workspace);
+        queue.pass += 1.0 / queue.weight;
     }
 
-    fn line(&mut self, workspace: &Workspace) -> &mut Line {
+    fn queue_mut(&mut self, workspace: &Workspace) -> &mut WorkspaceQueue {
         let pass = self.pass;
         let name = Arc::clone(workspace.name());
-        let line = self.lines.entry(name).or_default();
-        line.weight = AdmissionControl::weight(workspace);
-        // A workspace that was idle does not save up for a burst.
-        if line.waiting.is_empty() {
-            line.pass = line.pass.max(pass);
+        let queue = self.queues.entry(name).or_default();
+        queue.weight = AdmissionControl::weight(workspace);
+        // An idle workspace earns no credit for a later burst.
+        if queue.waiting.is_empty() {
+            queue.pass = queue.pass.max(pass);
         }
-        line
+        queue
     }
 
     fn weight(workspace: &Workspace) -> f64 {
@@ -205,38 +217,40 @@
         f64::from(workspace.share()) * f64::from(1u32 << steps)
     }
 
-    /// How long a workspace's next request would wait: those of its own
-    /// queue, at its share of the rate at which requests end.
-    fn wait(&self, workspace: &Workspace) -> Duration {
-        let mine = AdmissionControl::weight(workspace);
-        let mut total = mine;
-        let mut own = 0;
-        for (name, line) in &self.lines {
+    /// Returns how long the next request of a workspace would wait: the length
+    /// of the workspace's queue divided by its share of the rate at which
+    /// requests finish.
+    fn expected_wait(&self, workspace: &Workspace) -> Duration {
+        let own_weight = AdmissionControl::weight(workspace);
+        let mut total_weight = own_weight;
+        let mut own_queued = 0;
+        for (name, queue) in &self.queues {
             if name == workspace.name() {
-                own = line.waiting.len();
+                own_queued = queue.waiting.len();
                 continue;
             }
-            if !line.waiting.is_empty() {
-                total += line.weight;
+            if !queue.waiting.is_empty() {
+                total_weight += queue.weight;
             }
         }
-        let rate = self.limits.running.max(1) as f64 * mine / total;
-        self.usual.mul_f64((own + 1) as f64 / rate)
+        let rate =
+            self.limits.running.max(1) as f64 * own_weight / total_weight;
+        self.expected_duration.mul_f64((own_queued + 1) as f64 / rate)
     }
 
-    fn spread(wait: Duration, noise: f64) -> Duration {
-        let base = wait.max(AdmissionControl::MIN_RETRY_AFTER);
-        base.mul_f64(1.0 + noise.clamp(0.0, 1.0))
+    fn retry_after(expected_wait: Duration, jitter: f64) -> Duration {
+        let base = expected_wait.max(AdmissionControl::MIN_RETRY_AFTER);
+        base.mul_f64(1.0 + jitter.clamp(0.0, 1.0))
     }
 
-    /// Returns how long a request is taken to run.
+    /// Returns the moving average of request durations.
     pub fn expected_duration(&self) -> Duration {
-        self.usual
+        self.expected_duration
     }
 
-    /// Returns the requests running and queued.
+    /// Returns the number of requests running and the number queued.
     pub fn load(&self) -> (usize, usize) {
-        let queued = self.lines.values().map(|l| l.waiting.len()).sum();
+        let queued = self.queues.values().map(|q| q.waiting.len()).sum();
         (self.running, queued)
     }
 }
--- a/src/request/attempt_table.rs
+++ b/src/request/attempt_table.rs
@@ -1,9 +1,10 @@
-//! What an agent knows of the attempts sent to it.
+//! The attempts that an agent has received.
 //!
-//! An entry that loses an agent in the middle of an attempt asks it to revoke
-//! the attempt. The table answers from memory, and memory ends with the
-//! process; so each attempt names the incarnation of the agent that it was
-//! meant for, and only that incarnation may say "did not run".
+//! An entry that loses contact with an agent during an attempt asks the agent
+//! to revoke the attempt. The answer comes from the table in the agent's
+//! memory, which is lost when the process ends. Each attempt therefore names
+//! the agent incarnation that it was sent to, and only that incarnation may
+//! answer "did not run".
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -18,43 +19,47 @@
     Revoked,
 }
 
-/// The attempts of one incarnation of an agent.
+/// The attempts received by one incarnation of an agent.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct AttemptTable {
     incarnation: u64,
-    keep: Duration,
-    most: usize,
+    retention: Duration,
+    capacity: usize,
     states: BTreeMap<Attempt, State>,
     ended: VecDeque<(Time, Attempt)>,
 }
 
 impl AttemptTable {
-    /// Returns an empty table of an incarnation, which remembers an attempt
-    /// for `keep` after its end and at most `most` attempts at a time.
-    pub fn new(incarnation: u64, keep: Duration, most: usize) -> AttemptTable {
+    /// Returns the empty table of an incarnation. It keeps an attempt for
+    /// `retention` after its end, and at most `capacity` attempts at a time.
+    pub fn new(
+        incarnation: u64,
+        retention: Duration,
+        capacity: usize,
+    ) -> AttemptTable {
         AttemptTable {
             incarnation,
-            keep,
-            most,
+            retention,
+            capacity,
             states: BTreeMap::new(),
             ended: VecDeque::new(),
         }
     }
 
-    /// Admits an attempt, which from then on may have run.
+    /// Admits an attempt. From then on it counts as possibly run.
     ///
     /// # Errors
     ///
-    /// All of them mean that it did not run: [`Code::Behind`] if it was meant
-    /// for another incarnation, [`Code::Revoked`] if it was revoked or is
-    /// known already, [`Code::GuardFull`] if the table is full.
+    /// [`Code::Behind`] if the attempt was sent to another incarnation,
+    /// [`Code::Revoked`] if it was revoked or has been received before,
+    /// [`Code::GuardFull`] if the table is full. In each case it did not run.
     pub fn admit(
         &mut self,
         attempt: &Attempt,
         incarnation: u64,
         now: Time,
     ) -> Result<(), Error> {
-        self.forget(now);
+        self.remove_expired(now);
         if incarnation != self.incarnation {
             return Err(Error::new(
                 Code::Behind,
@@ -67,21 +72,26 @@
         if self.states.contains_key(attempt) {
             return Err(Error::new(
                 Code::Revoked,
-                format_args!("attempt {attempt} is known already"),
+                format_args!(
+                    "attempt {attempt} was revoked or received before"
+                ),
             ));
         }
-        if self.states.len() >= self.most {
+        if self.states.len() >= self.capacity {
             return Err(Error::new(
                 Code::GuardFull,
-                format_args!("{} attempts remembered", self.most),
+                format_args!(
+                    "the attempt table is full, limit: {}",
+                    self.capacity
+                ),
             ));
         }
         self.states.insert(attempt.clone(), State::Running);
         Ok(())
     }
 
-    /// Takes note that an admitted attempt came to its end, and whether it
-    /// ran. One that did not run becomes as one revoked.
+    /// Records that an attempt ended, and whether it ran. An attempt that did
+    /// not run is treated as revoked.
     pub fn end(&mut self, attempt: &Attempt, ran: Ran, now: Time) {
         let state = match ran {
             Ran::DidNotRun => State::Revoked,
@@ -91,15 +101,19 @@
         self.ended.push_back((now, attempt.clone()));
     }
 
-    /// Revokes an attempt meant for `incarnation`; if it has not been
-    /// admitted it never will be.
+    /// Revokes an attempt that was sent to `incarnation`, and returns whether
+    /// it ran.
+    ///
+    /// An attempt that has not been admitted is recorded as revoked, so that
+    /// it never will be. If the table is too full to record it, the answer is
+    /// [`Ran::MayHaveRun`].
     pub fn revoke(
         &mut self,
         attempt: &Attempt,
         incarnation: u64,
         now: Time,
     ) -> Ran {
-        self.forget(now);
+        self.remove_expired(now);
         if incarnation != self.incarnation {
             return Ran::MayHaveRun;
         }
@@ -107,7 +121,7 @@
             Some(State::Running) => Ran::MayHaveRun,
             Some(State::Ran) => Ran::Ran,
             Some(State::Revoked) => Ran::DidNotRun,
-            None if self.states.len() >= self.most => Ran::MayHaveRun,
+            None if self.states.len() >= self.capacity => Ran::MayHaveRun,
             None => {
                 self.end(attempt, Ran::DidNotRun, now);
                 Ran::DidNotRun
@@ -115,9 +129,9 @@
         }
     }
 
-    fn forget(&mut self, now: Time) {
+    fn remove_expired(&mut self, now: Time) {
         while let Some((at, _)) = self.ended.front() {
-            if now.since(*at) < self.keep {
+            if now.since(*at) < self.retention {
                 break;
             }
             if let Some((_, attempt)) = self.ended.pop_front() {
@@ -126,12 +140,12 @@
         }
     }
 
-    /// Returns how many attempts are remembered.
+    /// Returns the number of attempts in the table.
     pub fn len(&self) -> usize {
         self.states.len()
     }
 
-    /// Returns whether none is remembered.
+    /// Returns whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.states.is_empty()
     }
--- a/src/request/key_table.rs
+++ b/src/request/key_table.rs
@@ -1,12 +1,14 @@
-//! What a guard knows of the keys that it guards.
+//! The idempotency keys that a guard has granted.
 //!
-//! A key is granted to one holder in its window. The holder then runs the
-//! request at any agent; if it certainly did not run the holder gives the key
-//! back, and a caller may send it again. A guard that has restarted has
-//! forgotten, so it grants nothing until one and a half windows have passed:
-//! at most once goes before availability. At 260 restarts a day over 3,400
-//! guards and a window of 10 minutes that withholds 0.08 % of keyed requests
-//! (260 / 3,400 x 15 min / 1,440 min).
+//! A key is granted to one holder within its window. The holder then runs the
+//! request at any agent. If the request certainly did not run, the holder
+//! returns the key, and a caller may send the request again.
+//!
+//! A restarted guard has lost its table, so it grants nothing until one and a
+//! half windows have passed: running a request at most once takes precedence
+//! over availability. With 260 restarts a day over 3,400 guards and a window
+//! of 10 minutes, 0.08 % of the requests with a key are refused for this
+//! reason (260 / 3,400 x 15 min / 1,440 min).
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -14,105 +16,119 @@
 use super::Key;
 use crate::{Code, Error, Ran, Time};
 
-/// A guard's answer to a claim.
+/// A guard's decision on a claim.
 #[derive(Clone, Debug)]
 pub enum ClaimDecision {
     /// The holder may run the request.
     Granted,
-    /// It may not, and where it may later, when.
+    /// The holder may not run the request. The duration is the time after
+    /// which a claim may succeed, or zero if a later claim would not help.
     Refused(Error, Duration),
 }
 
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 struct Grant {
     holder: String,
-    at: Time,
+    granted_at: Time,
     ran: bool,
 }
 
-/// The keys that one guard has granted.
+/// The keys that one guard has granted, with a bound on their number.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct KeyTable {
-    hold: Duration,
-    most: usize,
-    deaf: Time,
+    retention: Duration,
+    capacity: usize,
+    grants_from: Time,
     grants: BTreeMap<Key, Grant>,
-    order: VecDeque<(Time, Key)>,
+    expiry_queue: VecDeque<(Time, Key)>,
 }
 
 impl KeyTable {
-    /// Returns how long after its claim a grant may be acted on, for a window.
+    /// Returns how long after its claim a granted request may be started, for
+    /// the given window.
     pub fn lease_duration(window: Duration) -> Duration {
         window / 2
     }
 
-    /// A grant is remembered for a window after the last moment at which it
-    /// may have been acted on, so that two runs of a key are never closer
-    /// than a window.
-    fn hold(window: Duration) -> Duration {
+    /// Returns how long a grant is kept. It is kept for one window after the
+    /// latest time at which the request may have been started, so that two
+    /// runs with the same key are at least one window apart.
+    fn retention(window: Duration) -> Duration {
         window + KeyTable::lease_duration(window)
     }
 
-    /// Returns the table of a guard that started at `start` and has forgotten
-    /// what it granted before, with a window and a bound on its size.
-    pub fn new(start: Time, window: Duration, most: usize) -> KeyTable {
-        let hold = KeyTable::hold(window);
+    /// Returns the empty table of a guard that started at `start`, for the
+    /// given window and at most `capacity` keys. It grants nothing until every
+    /// grant from before the start has expired.
+    pub fn new(start: Time, window: Duration, capacity: usize) -> KeyTable {
+        let retention = KeyTable::retention(window);
         KeyTable {
-            hold,
-            most,
-            deaf: start.after(hold),
+            retention,
+            capacity,
+            grants_from: start.after(retention),
             grants: BTreeMap::new(),
-            order: VecDeque::new(),
+            expiry_queue: VecDeque::new(),
         }
     }
 
-    /// Takes over a window from a new configuration.
+    /// Sets the window of a new configuration.
     ///
-    /// A longer one lengthens the wait after a restart as well; a shorter one
-    /// never shortens a wait that has begun.
+    /// A longer window also lengthens the wait after a restart; a shorter one
+    /// does not shorten a wait that has begun.
     pub fn set_window(&mut self, start: Time, window: Duration) {
-        self.hold = KeyTable::hold(window);
-        self.deaf = self.deaf.max(start.after(self.hold));
+        self.retention = KeyTable::retention(window);
+        self.grants_from = self.grants_from.max(start.after(self.retention));
     }
 
-    /// Grants a key to a holder, unless it was granted to another.
+    /// Grants a key to a holder, unless it is granted to another.
     ///
-    /// A holder that asks again for its own key gets it again: its first
-    /// question may have been answered into a broken connection.
+    /// A holder that claims its own key again is granted it again, since the
+    /// answer to its first claim may have been lost with the connection.
     pub fn claim(
         &mut self,
         key: &Key,
         holder: &str,
         now: Time,
     ) -> ClaimDecision {
-        self.forget(now);
+        self.remove_expired(now);
         if let Some(grant) = self.grants.get(key) {
-            return self.known(key, grant, holder);
+            return self.claim_granted(key, grant, holder);
         }
-        if now < self.deaf {
-            let wait = self.deaf.since(now);
+        if now < self.grants_from {
+            let wait = self.grants_from.since(now);
             let err = Error::new(
                 Code::GuardForgetful,
-                format_args!("guard restarted, key {key}"),
+                format_args!(
+                    "the guard of key {key} restarted and grants nothing yet"
+                ),
             );
             return ClaimDecision::Refused(err, wait);
         }
-        if self.order.len() >= self.most {
-            let first = self.order.front().map_or(now, |(at, _)| *at);
-            let wait = first.after(self.hold).since(now);
+        if self.expiry_queue.len() >= self.capacity {
+            let first = self.expiry_queue.front().map_or(now, |(at, _)| *at);
+            let wait = first.after(self.retention).since(now);
             let err = Error::new(
                 Code::GuardFull,
-                format_args!("{} keys remembered", self.most),
+                format_args!(
+                    "the key table is full, limit: {}",
+                    self.capacity
+                ),
             );
             return ClaimDecision::Refused(err, wait);
         }
-        let grant = Grant { holder: holder.to_string(), at: now, ran: false };
+        let grant =
+            Grant { holder: holder.to_string(), granted_at: now, ran: false };
         self.grants.insert(key.clone(), grant);
-        self.order.push_back((now, key.clone()));
+        self.expiry_queue.push_back((now, key.clone()));
         ClaimDecision::Granted
     }
 
-    fn known(&self, key: &Key, grant: &Grant, holder: &str) -> ClaimDecision {
+    fn claim_granted(
+        &self,
+        key: &Key,
+        grant: &Grant,
+        holder: &str,
+    ) -> ClaimDecision {
         if grant.holder == holder && !grant.ran {
             return ClaimDecision::Granted;
         }
@@ -125,8 +141,8 @@
         ClaimDecision::Refused(err, Duration::ZERO)
     }
 
-    /// Takes note of how the holder's request ended. If it did not run the
-    /// key is free again.
+    /// Records how the holder's request ended. If it did not run, the key can
+    /// be granted again.
     pub fn settle(&mut self, key: &Key, holder: &str, ran: Ran) {
         let Some(grant) = self.grants.get_mut(key) else { return };
         if grant.holder != holder {
@@ -141,25 +157,25 @@
         }
     }
 
-    fn forget(&mut self, now: Time) {
-        while let Some((at, _)) = self.order.front() {
-            if now.since(*at) < self.hold {
+    fn remove_expired(&mut self, now: Time) {
+        while let Some((at, _)) = self.expiry_queue.front() {
+            if now.since(*at) < self.retention {
                 break;
             }
-            let Some((at, key)) = self.order.pop_front() else { break };
-            // A key given back and granted anew has a later entry.
-            if self.grants.get(&key).is_some_and(|g| g.at == at) {
+            let Some((at, key)) = self.expiry_queue.pop_front() else { break };
+            // A key that was returned and granted again has a later entry.
+            if self.grants.get(&key).is_some_and(|g| g.granted_at == at) {
                 self.grants.remove(&key);
             }
         }
     }
 
-    /// Returns how many keys are remembered.
+    /// Returns the number of keys in the table.
     pub fn len(&self) -> usize {
         self.grants.len()
     }
 
-    /// Returns whether none is remembered.
+    /// Returns whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.grants.is_empty()
     }
--- a/src/request/retry.rs
+++ b/src/request/retry.rs
@@ -1,4 +1,4 @@
-//! What an entry does when an attempt fails.
+//! The decision of an entry on a failed attempt.
 
 use std::time::Duration;
 
@@ -7,33 +7,35 @@
 /// How an attempt failed.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Failure {
-    /// Nothing was sent: there was no connection.
+    /// No connection could be made, so nothing was sent.
     Unsent,
-    /// The agent answered that it did not run.
+    /// The agent answered that the attempt did not run.
     Refused(Code),
-    /// The agent answered that it failed, and that it may have run.
+    /// The agent answered that the attempt failed and may have run.
     Failed(Code),
-    /// Another attempt holds the request's key: this one did not run, but the
-    /// request runs or ran.
+    /// The request's key is granted to another attempt: this one did not run,
+    /// but the request is running or has run.
     Duplicate(Code),
-    /// It was sent, and the agent was lost before it answered.
+    /// The attempt was sent, and the connection to the agent was lost before
+    /// an answer came.
     Unanswered,
-    /// The answer broke off after part of it had gone to the caller.
+    /// The answer broke off after part of it had been sent to the caller.
     AnswerBroke,
 }
 
-/// What comes next for a request.
+/// What an entry does next with a request.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum RetryDecision {
-    /// Try another agent.
+    /// Tries another agent.
     Retry,
-    /// Ask the agent to revoke the attempt, then decide by its word.
+    /// Asks the agent to revoke the attempt, then calls
+    /// [`RequestRetry::revoked`] with the outcome.
     Revoke,
-    /// Answer the caller now.
+    /// Answers the caller with an error, and with whether the request ran.
     Respond(Code, Ran),
 }
 
-/// The course of one request over its attempts.
+/// The retry state of one request over all its attempts.
 ///
 /// # Examples
 ///
@@ -45,91 +47,113 @@
 /// assert_eq!(once.failed(Failure::Unanswered, true), RetryDecision::Revoke);
 /// assert_eq!(once.revoked(Ran::DidNotRun, true), RetryDecision::Retry);
 ///
-/// // What one attempt may have done is not undone by the next one's refusal.
+/// // An attempt that may have run counts even if the next one is refused.
 /// let mut many = RequestRetry::new(true);
 /// assert_eq!(many.failed(Failure::Unanswered, true), RetryDecision::Retry);
 /// let last = many.failed(Failure::Refused(Code::NotServing), false);
-/// assert_eq!(last, RetryDecision::Respond(Code::LostBackend, Ran::MayHaveRun));
+/// assert_eq!(
+///     last,
+///     RetryDecision::Respond(Code::LostBackend, Ran::MayHaveRun)
+/// );
 /// ```
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct RequestRetry {
     repeatable: bool,
-    before: Ran,
+    ran_before: Ran,
 }
 
 impl RequestRetry {
-    /// Returns the course of a request that has not been tried.
+    /// Returns the state of a request without attempts. A repeatable request
+    /// may run more than once.
     pub const fn new(repeatable: bool) -> RequestRetry {
-        RequestRetry { repeatable, before: Ran::DidNotRun }
+        RequestRetry { repeatable, ran_before: Ran::DidNotRun }
     }
 
-    /// Returns what is known of all attempts so far.
+    /// Returns whether any attempt so far ran, as far as is known.
     pub const fn ran(&self) -> Ran {
-        self.before
+        self.ran_before
     }
 
-    /// Says what comes next after an attempt failed. `more` says whether
-    /// deadline, tries and retry budget allow another.
+    /// Returns what to do after an attempt failed. `may_retry` says whether
+    /// the deadline, the limit on attempts and the retry budget allow another
+    /// attempt.
     ///
-    /// A request moves only if it is repeatable and nothing of an answer has
-    /// gone out, or if the agent said that it did not run.
-    pub fn failed(&mut self, failure: Failure, more: bool) -> RetryDecision {
+    /// A request is retried only if the attempt did not run, or if the request
+    /// is repeatable and no part of an answer has been sent to the caller.
+    pub fn failed(
+        &mut self,
+        failure: Failure,
+        may_retry: bool,
+    ) -> RetryDecision {
         match failure {
-            Failure::Unsent => self.unharmed(Code::NoBackend, more),
-            Failure::Refused(code) => self.unharmed(code, more),
-            Failure::Failed(code) => self.harmed(code, more),
+            Failure::Unsent => self.after_not_run(Code::NoBackend, may_retry),
+            Failure::Refused(code) => self.after_not_run(code, may_retry),
+            Failure::Failed(code) => self.after_possible_run(code, may_retry),
             Failure::Duplicate(code) => {
                 let ran = code.ran().unwrap_or(Ran::MayHaveRun);
-                RetryDecision::Respond(code, ran.max(self.before))
+                RetryDecision::Respond(code, ran.max(self.ran_before))
             }
             Failure::Unanswered if self.repeatable => {
-                self.harmed(Code::LostBackend, more)
+                self.after_possible_run(Code::LostBackend, may_retry)
             }
             Failure::Unanswered => RetryDecision::Revoke,
-            Failure::AnswerBroke => self.harmed(Code::AnswerBroke, false),
+            Failure::AnswerBroke => {
+                self.after_possible_run(Code::AnswerBroke, false)
+            }
         }
     }
 
-    /// Says what comes next once it is settled whether a revoked attempt ran.
-    pub fn revoked(&mut self, ran: Ran, more: bool) -> RetryDecision {
+    /// Returns what to do once it is known whether a revoked attempt ran.
+    pub fn revoked(&mut self, ran: Ran, may_retry: bool) -> RetryDecision {
         match ran {
-            Ran::DidNotRun => self.unharmed(Code::NoBackend, more),
-            Ran::MayHaveRun | Ran::Ran => self.harmed(Code::LostBackend, more),
+            Ran::DidNotRun => self.after_not_run(Code::NoBackend, may_retry),
+            Ran::MayHaveRun | Ran::Ran => {
+                self.after_possible_run(Code::LostBackend, may_retry)
+            }
         }
     }
 
-    fn unharmed(&mut self, code: Code, more: bool) -> RetryDecision {
-        if more {
+    fn after_not_run(&mut self, code: Code, may_retry: bool) -> RetryDecision {
+        if may_retry {
             return RetryDecision::Retry;
         }
-        match self.before {
+        match self.ran_before {
             Ran::DidNotRun => RetryDecision::Respond(code, Ran::DidNotRun),
-            before => RetryDecision::Respond(Code::LostBackend, before),
+            ran_before => {
+                RetryDecision::Respond(Code::LostBackend, ran_before)
+            }
         }
     }
 
-    fn harmed(&mut self, code: Code, more: bool) -> RetryDecision {
-        self.before = Ran::MayHaveRun;
-        if self.repeatable && more {
+    fn after_possible_run(
+        &mut self,
+        code: Code,
+        may_retry: bool,
+    ) -> RetryDecision {
+        self.ran_before = Ran::MayHaveRun;
+        if self.repeatable && may_retry {
             return RetryDecision::Retry;
         }
         RetryDecision::Respond(code, Ran::MayHaveRun)
     }
 }
 
-/// Says whether a revoked attempt ran, given the agent's word (none if it was
-/// silent), the time from sending the attempt to hearing that word, and how
-/// long agents remember attempts.
+/// Returns whether a revoked attempt ran.
+///
+/// `answer` is the agent's answer to the revocation (`None` if there was
+/// none), `elapsed` the time from sending the attempt to receiving that
+/// answer, and `retention` how long agents keep attempts.
 ///
-/// An entry may have been frozen in between. Beyond half the time that agents
-/// remember, their "did not run" may be a memory lost, so it counts no more.
+/// The entry process may have been paused in between. If more than half of the
+/// retention has elapsed, "did not run" may only mean that the agent has
+/// removed the attempt from its table, so it is not relied upon.
 pub fn revocation_outcome(
-    word: Option<Ran>,
-    since: Duration,
-    keep: Duration,
+    answer: Option<Ran>,
+    elapsed: Duration,
+    retention: Duration,
 ) -> Ran {
-    match word {
-        Some(Ran::DidNotRun) if since * 2 < keep => Ran::DidNotRun,
+    match answer {
+        Some(Ran::DidNotRun) if elapsed * 2 < retention => Ran::DidNotRun,
         Some(Ran::Ran) => Ran::Ran,
         Some(Ran::DidNotRun | Ran::MayHaveRun) | None => Ran::MayHaveRun,
     }
--- a/src/request/retry_budget.rs
+++ b/src/request/retry_budget.rs
@@ -1,35 +1,36 @@
-//! The retry budget.
+//! The retry budget of an entry.
 //!
-//! When a third of the agents die, every request to them is tried again. The
-//! budget lets tries grow by a share of the requests only, so that retries
-//! never become the load.
+//! When a third of the agents fail, every request to them is retried. The
+//! budget limits retries to a fixed ratio of the requests, so that they do not
+//! overload the remaining agents.
 
-/// A bounded number of retries, earned by requests.
+/// A token bucket that requests fill and retries drain.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
-    share: f64,
-    most: f64,
-    left: f64,
+    retries_per_request: f64,
+    capacity: f64,
+    available: f64,
 }
 
 impl RetryBudget {
-    /// Returns a full budget: each request earns `share` of a retry, up to
-    /// `most` saved.
-    pub const fn new(share: f64, most: f64) -> RetryBudget {
-        RetryBudget { share, most, left: most }
+    /// Returns a full budget of `capacity` retries, to which each request adds
+    /// `retries_per_request`.
+    pub const fn new(retries_per_request: f64, capacity: f64) -> RetryBudget {
+        RetryBudget { retries_per_request, capacity, available: capacity }
     }
 
-    /// Takes note of a request.
+    /// Records a request, which adds to the budget.
     pub fn record_request(&mut self) {
-        self.left = (self.left + self.share).min(self.most);
+        self.available =
+            (self.available + self.retries_per_request).min(self.capacity);
     }
 
-    /// Takes one retry, if there is one.
+    /// Takes one retry out of the budget, and returns whether there was one.
     pub fn spend(&mut self) -> bool {
-        if self.left < 1.0 {
+        if self.available < 1.0 {
             return false;
         }
-        self.left -= 1.0;
+        self.available -= 1.0;
         true
     }
 }
