--- a/src/event.rs
+++ b/src/event.rs
@@ -1,8 +1,8 @@
-//! Events and the time line over all processes.
+//! The events that processes log, and their order over all processes.
 //!
-//! Each process logs events as JSON lines. [`Event`] is one of them,
-//! [`merge`] puts those of many processes into one causal order, and the
-//! operator's `timeline` shows them.
+//! Each process logs its events as JSON lines. [`Event`] is one of them,
+//! [`merge`] puts the events of many processes into one causal order, and the
+//! operator's `timeline` command prints the result.
 
 mod line;
 mod timeline;
--- a/src/event/line.rs
+++ b/src/event/line.rs
@@ -1,4 +1,4 @@
-//! One event as a JSON line.
+//! Events as JSON lines.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,27 +10,27 @@
 /// One event of one process.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Event {
-    /// Hybrid logical clock; orders events over processes.
+    /// The hybrid logical clock, which orders events over all processes.
     pub clock: u64,
-    /// Wall time in milliseconds since the Unix epoch.
+    /// The wall clock time, in milliseconds since the Unix epoch.
     pub wall: u64,
-    /// The instance's name.
+    /// The name of the instance.
     pub instance: Arc<str>,
-    /// The instance's data hall.
+    /// The data hall of the instance.
     pub hall: Arc<str>,
-    /// The process's incarnation.
+    /// The incarnation of the process.
     pub incarnation: u64,
-    /// Counts the events of an incarnation.
+    /// The sequence number of the event within the incarnation.
     pub seq: u64,
-    /// What happened, such as `config.taken`.
+    /// The kind of event, such as `config.taken`.
     pub event: String,
-    /// What it happened to: request, version, revision and the like.
+    /// What the event concerns, such as a request, version or revision.
     #[serde(flatten)]
     pub fields: BTreeMap<String, String>,
 }
 
 impl Event {
-    /// Reads one line.
+    /// Parses one line.
     ///
     /// # Errors
     ///
@@ -40,7 +40,7 @@
             .map_err(|e| Error::new(Code::MalformedJson, e))
     }
 
-    /// Returns a field's value, or the empty string.
+    /// Returns the value of a field, or the empty string if there is none.
     pub fn field(&self, name: &str) -> &str {
         self.fields.get(name).map_or("", String::as_str)
     }
--- a/src/event/tests.rs
+++ b/src/event/tests.rs
@@ -10,8 +10,9 @@
 }
 
 #[test]
-fn events_of_many_processes_come_in_causal_order() {
-    // b's wall clock is far behind; what it received from a moves it on.
+fn events_of_many_processes_are_in_causal_order() {
+    // The wall clock of b is far behind; its hybrid logical clock advances
+    // past that of a with the message it receives.
     let mut a = Clock::new();
     let mut b = Clock::new();
     let sent = a.tick(5_000);
@@ -26,7 +27,7 @@
 }
 
 #[test]
-fn a_filter_chooses_by_request_and_instance() {
+fn filter_selects_by_request_and_instance() {
     let lines =
         [line(1, "a", 0, "x1"), line(2, "b", 0, "x2"), line(3, "a", 1, "y")];
     let table = [
@@ -48,9 +49,9 @@
 }
 
 #[test]
-fn a_picture_escapes_what_it_shows() {
+fn svg_image_escapes_texts() {
     let event = Event::parse(&line(9, "a<b", 0, "<&>")).unwrap();
-    let picture = render_svg(&[event]);
-    assert!(picture.contains("a&lt;b") && picture.contains("&lt;&amp;>"));
-    assert!(!picture.contains("<&"));
+    let image = render_svg(&[event]);
+    assert!(image.contains("a&lt;b") && image.contains("&lt;&amp;>"));
+    assert!(!image.contains("<&"));
 }
