--- a/src/serving.rs
+++ b/src/serving.rs
@@ -1,7 +1,8 @@
-//! When an instance may serve a version.
+//! Which version an instance serves, and when it admits requests.
 //!
-//! [`Lifecycle`] is the state machine of one agent; [`Fence`] makes sure that
-//! an engine takes orders from one agent at a time, in order.
+//! [`Lifecycle`] is the state machine of one agent. [`Fence`] is the fencing
+//! token that makes an engine accept orders from one agent at a time and in
+//! the order in which the agent gave them.
 
 mod fence;
 mod lifecycle;
--- a/src/serving/fence.rs
+++ b/src/serving/fence.rs
@@ -1,4 +1,4 @@
-//! Fences: who may order an engine, and when.
+//! Fencing tokens and leases for the orders that an agent gives its engine.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,13 +6,15 @@
 
 use crate::{Code, Error, Time};
 
-/// Orders the agents that order one engine.
+/// The fencing token of an order to an engine. An engine that checks fences
+/// refuses an order with a lower one than it has accepted.
 ///
-/// The incarnation goes first: a restarted agent outranks the one before it
-/// even if it has come up under an older configuration, since that one may
-/// still be asleep. Then the revision of the declaration that the order was
-/// given under, which the engine thus remembers for an agent that has
-/// forgotten. Last, a number that rises with each order of an incarnation.
+/// Fences are compared by agent incarnation first: a restarted agent takes
+/// precedence over its predecessor even if it started with an older
+/// configuration, because the predecessor may only be suspended. Next comes
+/// the revision of the declaration that the order was given under; the engine
+/// keeps it, and a restarted agent reads it back from there. Last comes a
+/// number that increases with each order of an incarnation.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd,
 )]
@@ -23,7 +25,7 @@
 }
 
 impl Fence {
-    /// Returns the fence under which an agent has given no order yet.
+    /// Returns the fence of an agent that has given no order yet.
     pub const fn new(incarnation: u64) -> Fence {
         Fence { incarnation, revision: 0, order: 0 }
     }
@@ -33,30 +35,37 @@
         self.incarnation
     }
 
-    /// Returns the revision that the order was given under.
+    /// Returns the revision of the declaration that the order was given under.
     pub const fn revision(self) -> u64 {
         self.revision
     }
 
-    /// Returns whether its agent has given no order yet.
+    /// Returns whether the agent has given no order yet.
     pub const fn is_first(self) -> bool {
         self.order == 0
     }
 
-    /// Returns the fence of the next order of the same agent, given under a
-    /// revision; an agent's revision never falls.
+    /// Returns the fence of the agent's next order, given under `revision`.
+    /// The revision of the fence never decreases.
     #[must_use]
     pub const fn next(self, revision: u64) -> Fence {
-        let rises = revision > self.revision;
-        let revision = if rises { revision } else { self.revision };
+        let increases = revision > self.revision;
+        let revision = if increases { revision } else { self.revision };
         Fence { revision, order: self.order + 1, ..self }
     }
 
-    /// Returns the incarnation that an agent starts under, given its wall
-    /// clock in milliseconds and the fence that its engine holds: above both,
-    /// so that a clock set back does not lock the agent out.
-    pub const fn next_incarnation(wall: u64, engine: Fence) -> u64 {
-        if wall > engine.incarnation { wall } else { engine.incarnation + 1 }
+    /// Returns the incarnation of a starting agent, given its wall clock in
+    /// milliseconds and the fence that its engine holds.
+    ///
+    /// The incarnation is at least the wall clock and above that of the
+    /// engine, so that an agent whose clock was set back can still give
+    /// orders.
+    pub const fn next_incarnation(wall_ms: u64, engine: Fence) -> u64 {
+        if wall_ms > engine.incarnation {
+            wall_ms
+        } else {
+            engine.incarnation + 1
+        }
     }
 }
 
@@ -71,44 +80,47 @@
     type Err = Error;
 
     fn from_str(s: &str) -> Result<Fence, Error> {
-        let bad = || {
+        let malformed = || {
             Error::new(
                 Code::BadHeader,
-                format_args!("fence \"{s}\", allowed: three numbers, 1.2.3"),
+                format_args!(
+                    "fence \"{s}\", allowed: three numbers such as 1.2.3"
+                ),
             )
         };
-        let mut parts = s.split('.').map(str::parse);
-        let mut part = || parts.next()?.ok();
-        let incarnation = part().ok_or_else(bad)?;
-        let revision = part().ok_or_else(bad)?;
-        let order = part().ok_or_else(bad)?;
-        if parts.next().is_some() {
-            return Err(bad());
+        let mut numbers = s.split('.').map(str::parse);
+        let mut number = || numbers.next()?.ok();
+        let incarnation = number().ok_or_else(malformed)?;
+        let revision = number().ok_or_else(malformed)?;
+        let order = number().ok_or_else(malformed)?;
+        if numbers.next().is_some() {
+            return Err(malformed());
         }
         Ok(Fence { incarnation, revision, order })
     }
 }
 
-/// Guards an order against a pause between deciding and sending.
+/// The time within which an order must be sent after it was decided.
 ///
-/// Not every engine checks fences. Towards one that does not, an agent that
-/// was frozen must not send what it decided before. The lease is short and is
-/// checked right before the bytes go out; what remains is a freeze in the few
-/// instructions after that check (`docs/PROOFS.md`).
+/// Not every engine checks fences. To one that does not, an agent that was
+/// suspended must not send an order from before the suspension. The lease is
+/// short and is checked right before the bytes are sent. A suspension in the
+/// few instructions after that check is not covered (`docs/PROOFS.md`).
 #[derive(Clone, Copy, Debug)]
 pub struct Lease {
-    from: Time,
-    span: Duration,
+    start: Time,
+    duration: Duration,
 }
 
 impl Lease {
-    /// Returns a lease that starts when the decision is made.
-    pub const fn new(from: Time, span: Duration) -> Lease {
-        Lease { from, span }
+    /// Returns a lease that starts at `start`, the time of the decision, and
+    /// lasts for `duration`.
+    pub const fn new(start: Time, duration: Duration) -> Lease {
+        Lease { start, duration }
     }
 
-    /// Returns whether the order may still be sent.
+    /// Returns whether the order may still be sent at `now`.
     pub fn is_valid(self, now: Time) -> bool {
-        now.since(self.from) <= self.span
+        now.since(self.start) <= self.duration
     }
 }
--- a/src/serving/lifecycle.rs
+++ b/src/serving/lifecycle.rs
@@ -1,9 +1,10 @@
-//! The life of a version at one agent.
+//! The state machine for the versions at one agent.
 //!
-//! The engine holds one version at a time, so a switch fetches the new one
-//! while the old one serves, then drains, loads and serves. Only
-//! [`Phase::Serving`] admits. The machine does no I/O: it takes events and
-//! leaves actions for the agent's shell to carry out.
+//! The engine holds one version at a time. To switch versions, an agent
+//! fetches the new version while the old one serves, drains the requests in
+//! progress, and loads the new version. Requests are admitted only in
+//! [`Phase::Serving`]. The state machine does no I/O: it receives events and
+//! returns actions for the agent to carry out.
 
 use std::fmt;
 use std::hash::{Hash, Hasher};
@@ -16,7 +17,7 @@
 
 use crate::Digest;
 
-/// What an agent is to serve.
+/// What an agent has to serve: a version of a model, with its manifests.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct Target {
     model: Arc<str>,
@@ -25,7 +26,8 @@
 }
 
 impl Target {
-    /// Returns a target: the version's manifest, then those of its adapters.
+    /// Returns a target. `manifests` has the version's own manifest first,
+    /// then those of its adapters.
     pub fn new(
         model: impl Into<Arc<str>>,
         version: impl Into<Arc<str>>,
@@ -44,18 +46,18 @@
         &self.version
     }
 
-    /// Returns the manifests, the version's own first.
+    /// Returns the digests of the manifests, the version's own first.
     pub fn manifests(&self) -> &[Digest] {
         &self.manifests
     }
 }
 
-/// What happens to an agent.
+/// An input to the state machine of an agent.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The configuration in force wants this, or nothing.
+    /// The current declaration assigns this target, or none.
     Wanted(Option<Target>),
-    /// All chunks of this target are here and verified.
+    /// All chunks of this target are in the agent's store and verified.
     Fetched(Target),
     /// The engine confirmed that it has loaded this target.
     Loaded(Target),
@@ -63,37 +65,37 @@
     LoadFailed,
     /// No request is in progress.
     Idle,
-    /// The engine no longer has what it was given.
+    /// The engine has lost the target that it had loaded.
     EngineLost,
-    /// It is this agent's turn to switch.
+    /// The agent may switch versions now; see [`Lifecycle::awaits_turn`].
     Turn,
 }
 
-/// What the agent's shell is to do.
+/// What the agent has to do after an event.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Action {
-    /// Fetch this target, instead of any other.
+    /// Fetches this target, and stops fetching any other.
     Fetch(Target),
-    /// Stop fetching.
+    /// Stops fetching.
     StopFetching,
-    /// Order the engine to load this target.
+    /// Orders the engine to load this target.
     Load(Target),
-    /// Order the engine to drop what it holds.
+    /// Orders the engine to unload its target.
     Unload,
 }
 
-/// Where a version stands at an agent, for reports.
+/// The phase of an agent, as given in reports.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Phase {
-    /// Nothing is wanted.
+    /// No target is assigned.
     Absent,
-    /// Chunks are being fetched and nothing serves.
+    /// Chunks are being fetched, and no version is serving.
     Fetching,
-    /// The engine is loading.
+    /// The engine is loading the target.
     Loading,
     /// Requests are admitted.
     Serving,
-    /// No more requests are admitted; those in progress finish.
+    /// No requests are admitted; those in progress run to their end.
     Draining,
 }
 
@@ -110,7 +112,8 @@
     }
 }
 
-/// The machine's storage.
+/// The data of the state machine: the assigned target, the one that has been
+/// fetched for it, and the one that the engine has loaded.
 #[derive(Clone, Debug, Default, Eq, Hash, PartialEq)]
 struct Machine {
     wanted: Option<Target>,
@@ -119,8 +122,9 @@
 }
 
 impl Machine {
-    /// Takes in what is wanted now; true if that is a change.
-    fn want(
+    /// Sets the assigned target and starts or stops fetching. Returns whether
+    /// the target has changed.
+    fn set_wanted(
         &mut self,
         target: &Option<Target>,
         context: &mut Vec<Action>,
@@ -137,16 +141,19 @@
         true
     }
 
-    fn fetched(&mut self, target: &Target) -> bool {
-        let fits = self.wanted.as_ref() == Some(target);
-        if fits {
+    /// Records that a target has been fetched. Returns whether it is the
+    /// assigned one.
+    fn record_fetched(&mut self, target: &Target) -> bool {
+        let is_wanted = self.wanted.as_ref() == Some(target);
+        if is_wanted {
             self.ready = Some(target.clone());
         }
-        fits
+        is_wanted
     }
 
-    /// Starts loading what is fetched, or goes back to fetching.
-    fn load(&mut self, context: &mut Vec<Action>) -> Outcome<State> {
+    /// Loads the fetched target. Without one it goes back to fetching, or
+    /// unloads if no target is assigned.
+    fn load_ready(&mut self, context: &mut Vec<Action>) -> Outcome<State> {
         self.loaded = None;
         match self.ready.clone() {
             Some(target) => {
@@ -174,7 +181,7 @@
         event: &Event,
     ) -> Outcome<State> {
         match event {
-            Event::Wanted(target) if self.want(target, context) => {
+            Event::Wanted(target) if self.set_wanted(target, context) => {
                 Transition(State::fetching())
             }
             _ => Handled,
@@ -188,14 +195,14 @@
         event: &Event,
     ) -> Outcome<State> {
         match event {
-            Event::Wanted(target) if self.want(target, context) => {
+            Event::Wanted(target) if self.set_wanted(target, context) => {
                 match target {
                     Some(_) => Handled,
                     None => Transition(State::absent()),
                 }
             }
-            Event::Fetched(target) if self.fetched(target) => {
-                self.load(context)
+            Event::Fetched(target) if self.record_fetched(target) => {
+                self.load_ready(context)
             }
             _ => Handled,
         }
@@ -208,14 +215,14 @@
         event: &Event,
     ) -> Outcome<State> {
         match event {
-            Event::Wanted(target) if self.want(target, context) => {
-                self.load(context)
+            Event::Wanted(target) if self.set_wanted(target, context) => {
+                self.load_ready(context)
             }
             Event::Loaded(target) if self.ready.as_ref() == Some(target) => {
                 self.loaded = Some(target.clone());
                 Transition(State::serving())
             }
-            Event::LoadFailed | Event::EngineLost => self.load(context),
+            Event::LoadFailed | Event::EngineLost => self.load_ready(context),
             _ => Handled,
         }
     }
@@ -228,14 +235,14 @@
     ) -> Outcome<State> {
         match event {
             Event::Wanted(target) => {
-                self.want(target, context);
+                self.set_wanted(target, context);
                 match target {
                     None => Transition(State::draining()),
                     Some(_) => Handled,
                 }
             }
             Event::Fetched(target) => {
-                self.fetched(target);
+                self.record_fetched(target);
                 Handled
             }
             Event::Turn if self.ready.is_some() => {
@@ -244,7 +251,7 @@
                 }
                 Transition(State::draining())
             }
-            Event::EngineLost => self.load(context),
+            Event::EngineLost => self.load_ready(context),
             _ => Handled,
         }
     }
@@ -257,46 +264,46 @@
     ) -> Outcome<State> {
         match event {
             Event::Wanted(target) => {
-                self.want(target, context);
+                self.set_wanted(target, context);
                 Handled
             }
             Event::Fetched(target) => {
-                self.fetched(target);
+                self.record_fetched(target);
                 Handled
             }
-            Event::Idle | Event::EngineLost => self.load(context),
+            Event::Idle | Event::EngineLost => self.load_ready(context),
             _ => Handled,
         }
     }
 }
 
-/// The life of versions at one agent.
+/// The state machine that takes an agent from one version to the next.
 #[derive(Clone)]
 pub struct Lifecycle {
     machine: BlockingMachine<Machine>,
 }
 
 impl Lifecycle {
-    /// Returns the lifecycle of an agent that has nothing.
+    /// Returns the state machine of an agent without a target.
     pub fn new() -> Lifecycle {
         Lifecycle { machine: Machine::default().state_machine() }
     }
 
-    /// Takes in an event and returns what to do, in order.
+    /// Handles an event and returns the actions to carry out, in order.
     ///
     /// # Examples
     ///
     /// ```
     /// use stairhinge::serving::{Action, Event, Lifecycle, Phase, Target};
     ///
-    /// let mut life = Lifecycle::new();
+    /// let mut lifecycle = Lifecycle::new();
     /// let v1 = Target::new("matcher", "v1", vec![]);
-    /// let actions = life.handle(&Event::Wanted(Some(v1.clone())));
+    /// let actions = lifecycle.handle(&Event::Wanted(Some(v1.clone())));
     /// assert_eq!(actions, [Action::Fetch(v1.clone())]);
-    /// let actions = life.handle(&Event::Fetched(v1.clone()));
+    /// let actions = lifecycle.handle(&Event::Fetched(v1.clone()));
     /// assert_eq!(actions, [Action::Load(v1.clone())]);
-    /// life.handle(&Event::Loaded(v1));
-    /// assert_eq!(life.phase(), Phase::Serving);
+    /// lifecycle.handle(&Event::Loaded(v1));
+    /// assert_eq!(lifecycle.phase(), Phase::Serving);
     /// ```
     pub fn handle(&mut self, event: &Event) -> Vec<Action> {
         let mut actions = Vec::new();
@@ -304,7 +311,7 @@
         actions
     }
 
-    /// Returns where the agent stands.
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
         match self.machine.state() {
             State::Absent {} => Phase::Absent,
@@ -315,7 +322,8 @@
         }
     }
 
-    /// Returns what is admitted now: the loaded target, while serving.
+    /// Returns the target for which requests are admitted: the loaded one
+    /// while serving, and otherwise `None`.
     pub fn serving(&self) -> Option<&Target> {
         match self.phase() {
             Phase::Serving => self.machine.inner().loaded.as_ref(),
@@ -323,12 +331,13 @@
         }
     }
 
-    /// Returns what the configuration in force wants.
+    /// Returns the target that the current declaration assigns.
     pub fn wanted(&self) -> Option<&Target> {
         self.machine.inner().wanted.as_ref()
     }
 
-    /// Returns whether a switch waits for this agent's turn.
+    /// Returns whether another target has been fetched, so that the agent
+    /// waits for its turn to switch.
     pub fn awaits_turn(&self) -> bool {
         let machine = self.machine.inner();
         self.phase() == Phase::Serving
--- a/src/serving/loaded_target.rs
+++ b/src/serving/loaded_target.rs
@@ -1,12 +1,13 @@
-//! What a request is bound to when it is admitted.
+//! The loaded target that a request is bound to at admission.
 
 use super::{Fence, Target};
 
-/// A loaded target, and the fence of the order that loaded it.
+/// A loaded target, with the fence of the order that loaded it.
 ///
-/// A request is bound to it at admission. The engine echoes version and fence
-/// in the head of its answer, and an answer that does not fit is withheld:
-/// not every engine checks what it is asked for.
+/// A request is bound to a loaded target at admission. The engine returns its
+/// version and fence in the response headers, and the agent withholds a
+/// response that does not match, because not every engine checks the version
+/// and fence of a request.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct LoadedTarget {
     target: Target,
@@ -14,23 +15,23 @@
 }
 
 impl LoadedTarget {
-    /// Returns what a load order under a fence has brought about.
+    /// Returns the result of a load order given under `fence`.
     pub const fn new(target: Target, fence: Fence) -> LoadedTarget {
         LoadedTarget { target, fence }
     }
 
-    /// Returns what is loaded.
+    /// Returns the target that is loaded.
     pub const fn target(&self) -> &Target {
         &self.target
     }
 
-    /// Returns the fence that it was loaded under.
+    /// Returns the fence of the order that loaded the target.
     pub const fn fence(&self) -> Fence {
         self.fence
     }
 
-    /// Returns whether an answer that echoes a version and a fence comes from
-    /// what the request was bound to.
+    /// Returns whether a response with this version and fence comes from this
+    /// loaded target.
     pub fn matches(&self, version: &str, fence: &str) -> bool {
         **self.target.version() == *version
             && fence.parse().is_ok_and(|f: Fence| f == self.fence)
--- a/src/serving/pause_detector.rs
+++ b/src/serving/pause_detector.rs
@@ -1,48 +1,49 @@
-//! Noticing that the process stood still.
+//! Detection of pauses of the process.
 //!
-//! A process may be stopped and woken at any moment, and does not know. What
-//! it believed before may be long past, so until it has caught up it must not
-//! act on it. A beat that comes far too late shows the pause, and whoever is
-//! about to act looks at the beat first.
+//! A process may be suspended and resumed at any time without notice. Its
+//! state may then be outdated, and it must not act on it before it has been
+//! refreshed. A periodic tick that arrives much too late reveals the pause;
+//! callers check for one before they act.
 
 use std::time::Duration;
 
 use crate::Time;
 
-/// Whether the process stood still and has not caught up since.
+/// Detects whether the process was paused and has not caught up since.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PauseDetector {
-    last: Time,
-    woken: bool,
+    last_tick: Time,
+    paused: bool,
 }
 
 impl PauseDetector {
-    /// How often a process is expected to beat.
+    /// The interval at which [`PauseDetector::tick`] is to be called.
     pub const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-    /// A beat that is later than this shows a pause, not load.
+    /// The longest time between two ticks that counts as load and not as a
+    /// pause.
     pub const MAX_TICK_GAP: Duration = Duration::from_millis(1_500);
 
-    /// Returns a guard of a process that begins now.
+    /// Returns a detector for a process that starts at `now`.
     pub const fn new(now: Time) -> PauseDetector {
-        PauseDetector { last: now, woken: false }
+        PauseDetector { last_tick: now, paused: false }
     }
 
-    /// Takes in a beat.
+    /// Records a tick.
     pub fn tick(&mut self, now: Time) {
-        self.woken = self.was_paused(now);
-        self.last = now;
+        self.paused = self.was_paused(now);
+        self.last_tick = now;
     }
 
-    /// Returns whether the process stood still, before or just now, and has
-    /// not caught up.
+    /// Returns whether the process was paused, before the last tick or since,
+    /// and has not caught up.
     pub fn was_paused(&self, now: Time) -> bool {
-        self.woken || now.since(self.last) > PauseDetector::MAX_TICK_GAP
+        self.paused || now.since(self.last_tick) > PauseDetector::MAX_TICK_GAP
     }
 
-    /// Notes that the process has caught up.
+    /// Records that the process has caught up.
     pub fn caught_up(&mut self, now: Time) {
-        self.woken = false;
-        self.last = now;
+        self.paused = false;
+        self.last_tick = now;
     }
 }
