--- a/src/request/tests.rs
+++ b/src/request/tests.rs
@@ -213,7 +213,7 @@
 
 #[test]
 fn late_did_not_run_is_not_relied_upon() {
-    let keep = Duration::from_millis(1_000);
+    let retention = Duration::from_millis(1_000);
     let ms = Duration::from_millis;
     let table = [
         (Some(Ran::DidNotRun), 499, Ran::DidNotRun),
@@ -222,11 +222,11 @@
         (Some(Ran::MayHaveRun), 1, Ran::MayHaveRun),
         (None, 1, Ran::MayHaveRun),
     ];
-    for (word, since, ran) in table {
+    for (answer, elapsed, ran) in table {
         assert_eq!(
-            revocation_outcome(word, ms(since), keep),
+            revocation_outcome(answer, ms(elapsed), retention),
             ran,
-            "{word:?} {since}"
+            "{answer:?} {elapsed}"
         );
     }
 }
