--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -7,8 +7,8 @@
 
 use arc_swap::ArcSwapOption;
 use bytes::Bytes;
-use stairhinge::request::{Attempts, Keys, Rings};
-use stairhinge::serving::{Bound, PauseGuard};
+use stairhinge::request::{AttemptTable, GuardHistory, KeyTable};
+use stairhinge::serving::{LoadedTarget, PauseDetector};
 use stairhinge::weights::{ChunkStore, Manifest};
 use stairhinge::{Digest, Time};
 use stairhinge_shell::node::Node;
@@ -42,17 +42,17 @@
     pub(crate) start: Time,
     pub(crate) store: Mutex<ChunkStore<Bytes>>,
     pub(crate) arrived: watch::Sender<u64>,
-    pub(crate) attempts: Mutex<Attempts>,
-    pub(crate) keys: Mutex<Keys>,
-    pub(crate) rings: Mutex<Rings>,
-    pub(crate) gate: ArcSwapOption<Bound>,
+    pub(crate) attempts: Mutex<AttemptTable>,
+    pub(crate) keys: Mutex<KeyTable>,
+    pub(crate) rings: Mutex<GuardHistory>,
+    pub(crate) gate: ArcSwapOption<LoadedTarget>,
     /// The revision that the engine has been told of; see `Orders::tell`.
     pub(crate) told: AtomicU64,
     pub(crate) tally: Tally,
     pub(crate) links: Links,
     pub(crate) progress: Mutex<Progress>,
     pub(crate) nudge: Notify,
-    pub(crate) pause: Mutex<PauseGuard>,
+    pub(crate) pause: Mutex<PauseDetector>,
 }
 
 impl Agent {
@@ -66,7 +66,7 @@
         let most = values.number("guard_keys") as usize;
         let keep = values.millis("keep_ms");
         let start = node.now();
-        let attempts = Attempts::new(node.incarnation(), keep, most);
+        let attempts = AttemptTable::new(node.incarnation(), keep, most);
         Arc::new(Agent {
             start,
             store: Mutex::new(ChunkStore::new(
@@ -76,7 +76,7 @@
             attempts: Mutex::new(attempts),
             // The window comes with the first declaration; until then no
             // key is granted at all.
-            keys: Mutex::new(Keys::new(start, Duration::ZERO, most)),
+            keys: Mutex::new(KeyTable::new(start, Duration::ZERO, most)),
             rings: Mutex::default(),
             gate: ArcSwapOption::empty(),
             told: AtomicU64::new(0),
@@ -84,7 +84,7 @@
             links: Links { up, down },
             progress: Mutex::default(),
             nudge: Notify::new(),
-            pause: Mutex::new(PauseGuard::new(start)),
+            pause: Mutex::new(PauseDetector::new(start)),
             settings: settings.clone(),
             node,
         })
@@ -119,23 +119,23 @@
 
     /// Beats for the guard that notices pauses, until the process stops.
     pub(crate) async fn beat(self: Arc<Agent>, end: Shutdown) {
-        let mut timer = tokio::time::interval(PauseGuard::BEAT);
+        let mut timer = tokio::time::interval(PauseDetector::TICK_INTERVAL);
         loop {
             tokio::select! {
                 _ = timer.tick() => {}
                 () = end.wait() => return,
             }
             let now = self.node.now();
-            lock(&self.pause).beat(now);
+            lock(&self.pause).tick(now);
         }
     }
 
     /// Returns whether this process stood still and has not loaded what is
     /// wanted by now: what it holds may be long outdated elsewhere.
-    pub(crate) fn is_behind(&self, held: &Bound) -> bool {
+    pub(crate) fn is_behind(&self, held: &LoadedTarget) -> bool {
         let now = self.node.now();
         let mut pause = lock(&self.pause);
-        if !pause.is_woken(now) {
+        if !pause.was_paused(now) {
             return false;
         }
         let view = self.node.view();
@@ -154,15 +154,15 @@
         lock(&self.store)
     }
 
-    pub(crate) fn attempts(&self) -> MutexGuard<'_, Attempts> {
+    pub(crate) fn attempts(&self) -> MutexGuard<'_, AttemptTable> {
         lock(&self.attempts)
     }
 
-    pub(crate) fn keys(&self) -> MutexGuard<'_, Keys> {
+    pub(crate) fn keys(&self) -> MutexGuard<'_, KeyTable> {
         lock(&self.keys)
     }
 
-    pub(crate) fn rings(&self) -> MutexGuard<'_, Rings> {
+    pub(crate) fn rings(&self) -> MutexGuard<'_, GuardHistory> {
         lock(&self.rings)
     }
 
--- a/crates/agent/src/drive.rs
+++ b/crates/agent/src/drive.rs
@@ -4,10 +4,10 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-use stairhinge::document::{members, wanted};
-use stairhinge::request::Ring;
+use stairhinge::document::{agents_by_hall, assigned_model};
+use stairhinge::request::GuardSet;
 use stairhinge::serving::{
-    Action, Bound, Event, Fence, Lifecycle, Phase, Target,
+    Action, Event, Fence, Lifecycle, LoadedTarget, Phase, Target,
 };
 use stairhinge::{Code, Digest, Error, Time};
 use stairhinge_shell::Shutdown;
@@ -23,7 +23,7 @@
     /// A target's chunks are all here, or cannot be.
     Fetched(Target, Result<(), Error>),
     /// A load order was answered.
-    Loaded(Target, Result<Bound, Error>),
+    Loaded(Target, Result<LoadedTarget, Error>),
     /// The engine was told of a revision, or could not be.
     Told(Result<Fence, Error>),
 }
@@ -107,9 +107,9 @@
         }
         self.adopted = fleet.revision();
         let now = self.agent.node.now();
-        self.agent.rings().adopt(Ring::of(fleet), now);
+        self.agent.rings().adopt(GuardSet::from_fleet(fleet), now);
         let (start, window) = (self.agent.start, fleet.key_window());
-        self.agent.keys().widen(start, window);
+        self.agent.keys().set_window(start, window);
         let ms = window.as_millis().to_string();
         self.agent.node.event("guard.window", &[("window_ms", &ms)]);
         self.inform();
@@ -138,7 +138,7 @@
         let view = node.view();
         let fleet = view.fleet.as_ref()?;
         let me = node.identity();
-        let model = wanted(fleet, &view.listing, &me.hall, &me.name)?;
+        let model = assigned_model(fleet, &view.listing, &me.hall, &me.name)?;
         let version = model.served_version();
         let mut manifests = vec![version.manifest()];
         for adapter in model.adapters() {
@@ -157,7 +157,7 @@
         for action in actions {
             match action {
                 Action::Fetch(target) => self.fetch(target),
-                Action::Stop => self.stop(),
+                Action::StopFetching => self.stop(),
                 Action::Load(target) => self.load(target),
                 Action::Unload => self.unload(),
             }
@@ -313,7 +313,7 @@
         let Some(wanted) = self.life.wanted() else { return true };
         let view = node.view();
         let Some(fleet) = &view.fleet else { return true };
-        let halls = members(fleet, &view.listing, wanted.model());
+        let halls = agents_by_hall(fleet, &view.listing, wanted.model());
         let me = node.identity();
         let Some((_, names)) = halls.into_iter().find(|(h, _)| *h == me.hall)
         else {
--- a/src/serving.rs
+++ b/src/serving.rs
@@ -1,17 +1,18 @@
-//! When an instance may serve a version.
+//! Which version an instance serves, and when it admits requests.
 //!
-//! [`Lifecycle`] is the state machine of one agent; [`Fence`] makes sure that
-//! an engine takes orders from one agent at a time, in order.
+//! [`Lifecycle`] is the state machine of one agent. [`Fence`] is the fencing
+//! token that makes an engine accept orders from one agent at a time and in
+//! the order in which the agent gave them.
 
-mod bound;
 mod fence;
 mod lifecycle;
-mod pause_guard;
+mod loaded_target;
+mod pause_detector;
 
-pub use self::bound::Bound;
 pub use self::fence::{Fence, Lease};
 pub use self::lifecycle::{Action, Event, Lifecycle, Phase, Target};
-pub use self::pause_guard::PauseGuard;
+pub use self::loaded_target::LoadedTarget;
+pub use self::pause_detector::PauseDetector;
 
 #[cfg(test)]
 mod tests;
