--- a/crates/agent/src/poison.rs
+++ b/crates/agent/src/poison.rs
@@ -54,14 +54,14 @@
         };
         let mut table = self.node.poison();
         table.merge(vec![record], now);
-        match table.still_admits(request, told, now) {
-            Admission::Sent(_) => {
+        match table.recheck(request, told, now) {
+            Admission::Admitted(_) => {
                 let sent = table.suspicion(request);
                 Ok(Some(Suspect { request, sent }))
             }
             Admission::Refused(refusal) => {
                 let err = Error::new(Code::Quarantined, &refusal);
-                Err(Failed::new(err).with_back(refusal.back))
+                Err(Failed::new(err).with_back(refusal.retry_after))
             }
         }
     }
--- a/crates/entry/src/front.rs
+++ b/crates/entry/src/front.rs
@@ -172,7 +172,7 @@
         let suspicion = self.admit_suspect()?;
         let answered = self.send_once(suspicion).await;
         if answered.is_err() {
-            self.entry.node.poison().released(self.ask.fingerprint);
+            self.entry.node.poison().finish_run(self.ask.fingerprint);
         }
         answered
     }
@@ -246,10 +246,10 @@
         let now = node.now();
         let admission = node.poison().admit(self.ask.fingerprint, now);
         let refusal = match admission {
-            Admission::Sent(suspicion) => return Ok(suspicion),
+            Admission::Admitted(suspicion) => return Ok(suspicion),
             Admission::Refused(refusal) => refusal,
         };
-        self.back = Some(refusal.back);
+        self.back = Some(refusal.retry_after);
         self.refusal = Some(refusal);
         let before = self.course.ran();
         let code = match before {
--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -19,7 +19,9 @@
     AllowedRegions, Contention, EvacuationBound, HallEntry, HallRegions,
     ReplicaState,
 };
-use stairhinge::placing::{Access, Lack, Need, Urgency};
+use stairhinge::placing::{
+    ChooserKind, Need, NoPlaceReason, RecentObjectives,
+};
 use stairhinge_shell::directory::{Facts, FactsView};
 
 use self::find::layers;
@@ -35,7 +37,7 @@
     known: HashMap<Arc<str>, Known>,
     waiting: Queue,
     contention: Contention,
-    urgency: Urgency,
+    recent_objectives: RecentObjectives,
     /// The entries that agents of the own hall tell of.
     entries: Arc<Vec<HallEntry>>,
     /// How many entries the own hall has at most, by its agents; 0 if none
@@ -140,13 +142,15 @@
         &self,
         need: Need,
         until: Instant,
-        access: Access,
-    ) -> Result<Place, Lack> {
+        kind: ChooserKind,
+    ) -> Result<Place, NoPlaceReason> {
         let wait = until.saturating_duration_since(Instant::now());
-        match self.request(need, !wait.is_zero(), access) {
+        match self.request(need, !wait.is_zero(), kind) {
             Found::Place(place) => Ok(place),
             Found::Nothing(lack) => Err(lack),
-            Found::Waits(found) => found.within(wait).await.ok_or(Lack::Room),
+            Found::Waits(found) => {
+                found.within(wait).await.ok_or(NoPlaceReason::Room)
+            }
         }
     }
 
@@ -156,15 +160,15 @@
         &self,
         need: Need,
         waits: bool,
-        access: Access,
+        kind: ChooserKind,
     ) -> Found {
         let mut state = self.lock();
-        state.urgency.note(&need, self.facts.now());
+        state.recent_objectives.record(&need, self.facts.now());
         let view = self.facts.view();
         let ahead = state.waiting.goes_before(&need);
         if !ahead
             && let Some(place) =
-                self.find(&mut state, &view, &need, access, None)
+                self.find(&mut state, &view, &need, kind, None)
         {
             return Found::Place(place);
         }
@@ -172,21 +176,26 @@
             return Found::Nothing(self.lack(&state, &view, need));
         }
         if !waits {
-            return Found::Nothing(Lack::Room);
+            return Found::Nothing(NoPlaceReason::Room);
         }
-        Found::Waits(state.waiting.join(need, access))
+        Found::Waits(state.waiting.join(need, kind))
     }
 
     /// Returns why no replica serves what is needed.
-    fn lack(&self, state: &State, view: &FactsView, mut need: Need) -> Lack {
+    fn lack(
+        &self,
+        state: &State,
+        view: &FactsView,
+        mut need: Need,
+    ) -> NoPlaceReason {
         if !need.regions.is_bound() {
-            return Lack::Replica;
+            return NoPlaceReason::Replica;
         }
         need.regions = AllowedRegions::default();
         if self.exists(state, view, &need) {
-            Lack::Region
+            NoPlaceReason::Region
         } else {
-            Lack::Replica
+            NoPlaceReason::Replica
         }
     }
 
@@ -242,8 +251,8 @@
         let view = self.facts.view();
         let mut given = Vec::new();
         for waiter in state.waiting.take() {
-            let (need, access) = (&waiter.need, waiter.access);
-            match self.find(&mut state, &view, need, access, only) {
+            let (need, kind) = (&waiter.need, waiter.kind);
+            match self.find(&mut state, &view, need, kind, only) {
                 Some(place) => {
                     state.waiting.note_given();
                     given.push((waiter, place));
--- a/crates/gateway/src/dispatch/find.rs
+++ b/crates/gateway/src/dispatch/find.rs
@@ -5,7 +5,7 @@
 
 use stairhinge::direct::Replica;
 use stairhinge::direct::balance::{Candidate, Pace, choose};
-use stairhinge::placing::{Access, Need, SendPace};
+use stairhinge::placing::{ChooserKind, Need, SendPace};
 use stairhinge::rank;
 use stairhinge_shell::decisions::Decision;
 use stairhinge_shell::directory::{FactsView, Standing};
@@ -99,17 +99,17 @@
         state: &mut State,
         view: &FactsView,
         need: &Need,
-        access: Access,
+        kind: ChooserKind,
         only: Option<&Arc<str>>,
     ) -> Option<Place> {
         let offers = match only {
             Some(only) if self.may_fill(state, view, need, only) => {
-                self.offers(state, view, need, access, view.replicas.get(only))
+                self.offers(state, view, need, kind, view.replicas.get(only))
             }
             Some(_) => return None,
             None => {
                 let all = view.of_service(&need.service);
-                self.offers(state, view, need, access, all)
+                self.offers(state, view, need, kind, all)
             }
         };
         let (replica, terms) = offers.chosen()?;
@@ -140,7 +140,7 @@
         state: &mut State,
         view: &FactsView,
         need: &Need,
-        access: Access,
+        kind: ChooserKind,
         replicas: impl IntoIterator<Item = &'a (Arc<Replica>, Standing)>,
     ) -> Offers {
         let now = self.facts.now();
@@ -155,7 +155,7 @@
             }
             let terms = self.terms(state, view, need, replica, layers, now);
             let Some(terms) = terms else { continue };
-            let candidate = self.candidate(state, view, need, access, replica);
+            let candidate = self.candidate(state, view, need, kind, replica);
             let Some((candidate, fitness)) = candidate else { continue };
             let offered = offers.of(fitness);
             offered.candidates.push(candidate);
@@ -173,7 +173,7 @@
         state: &mut State,
         view: &FactsView,
         need: &Need,
-        access: Access,
+        kind: ChooserKind,
         replica: &Replica,
     ) -> Option<(Candidate, Fitness)> {
         let engine = view.engine(&need.service);
@@ -182,17 +182,19 @@
         let limit = known.and_then(|k| k.limit.limit());
         let fleet_entries = limit.and_then(|_| self.fleet_entries_in(state));
         let near = replica.hall == self.hall;
-        let objective = state.urgency.objective(need, self.facts.now());
+        let objective = state
+            .recent_objectives
+            .effective_objective(need, self.facts.now());
         let known =
             state.known.entry(Arc::clone(&replica.incarnation)).or_default();
         let now = self.facts.now();
         let cold = known.meet(replica, now);
         if known.is_cold(now)
-            && let Some(pace) = self.cold_pace(view, access, replica)
+            && let Some(pace) = self.cold_pace(view, kind, replica)
         {
             if let Some(for_ms) = cold {
                 let replica = &replica.incarnation;
-                let share = pace.most();
+                let share = pace.max_requests();
                 let line = Decision::ReplicaCold { replica, for_ms, share };
                 self.facts.log().write(&line);
             }
@@ -205,7 +207,7 @@
             .get_or_insert_with(|| self.offset(&replica.incarnation));
         if let Some(limit) = limit {
             let pace =
-                limit.pace(access, near, self.hall_count(), fleet_entries);
+                limit.pace(kind, near, self.hall_count(), fleet_entries);
             if !known.limit.has_room(pace, &known.sent, offset, now) {
                 return None;
             }
@@ -213,7 +215,7 @@
         if known.full_until.is_some_and(|at| at > Instant::now()) {
             return None;
         }
-        if need.suspicion.is_last() && known.has_trial() {
+        if need.suspicion.requires_exclusive_run() && known.has_trial() {
             return None;
         }
         let suspected = need.suspicion.ended > 0;
@@ -247,13 +249,13 @@
     fn cold_pace(
         &self,
         view: &FactsView,
-        access: Access,
+        kind: ChooserKind,
         replica: &Replica,
     ) -> Option<SendPace> {
         let service = view.routes.as_ref()?.service(&replica.service)?;
         let bound = self.bounds.cold.bound(service.cold_per_s)?;
         let near = replica.hall == self.hall;
-        Some(bound.pace(access, near, self.hall_count()))
+        Some(bound.pace(kind, near, self.hall_count()))
     }
 
     /// Returns the number of data halls whose entries choose replicas.
--- a/crates/gateway/src/dispatch/hall.rs
+++ b/crates/gateway/src/dispatch/hall.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use stairhinge::direct::{HallEntry, ReplicaState};
-use stairhinge::placing::{Need, Placed, ranked};
+use stairhinge::placing::{Need, Placed, leading_entries};
 use stairhinge_shell::directory::{FactsView, Standing};
 
 use super::{Dispatcher, Place, State};
@@ -61,7 +61,7 @@
         }
         entries.sort_unstable();
         entries.dedup();
-        state.ranked = Arc::new(ranked(leading));
+        state.ranked = Arc::new(leading_entries(leading));
         state.listening = listening;
         state.entries = Arc::new(entries);
     }
--- a/crates/gateway/src/dispatch/known.rs
+++ b/crates/gateway/src/dispatch/known.rs
@@ -169,14 +169,14 @@
 
     /// Takes note of a request that it is given.
     pub(super) fn given(&mut self, need: &Need, now: Time) {
-        self.sent.note(now);
+        self.sent.record(now);
         self.load.own_pending += 1;
         self.load.own_pending_tokens += need.prompt_tokens;
-        let until = Some(Instant::now() + PoisonTable::TRIAL);
+        let until = Some(Instant::now() + PoisonTable::TRIAL_PERIOD);
         if need.suspicion.ended > 0 {
             self.suspect_until = until;
         }
-        if need.suspicion.is_last() {
+        if need.suspicion.requires_exclusive_run() {
             self.trial_until = until;
         }
     }
--- a/crates/gateway/src/dispatch/queue.rs
+++ b/crates/gateway/src/dispatch/queue.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use stairhinge::placing::{Access, Lack, Need};
+use stairhinge::placing::{ChooserKind, Need, NoPlaceReason};
 use tokio::sync::oneshot;
 
 use super::Place;
@@ -15,7 +15,7 @@
     /// No room now; a place may follow.
     Waits(Waiting),
     /// No place.
-    Nothing(Lack),
+    Nothing(NoPlaceReason),
 }
 
 /// A request that waits.
@@ -40,7 +40,7 @@
 #[derive(Debug)]
 pub(super) struct Waiter {
     pub need: Need,
-    pub access: Access,
+    pub kind: ChooserKind,
     pub found: oneshot::Sender<Place>,
 }
 
@@ -69,9 +69,9 @@
     }
 
     /// Adds a request.
-    pub(super) fn join(&mut self, need: Need, access: Access) -> Waiting {
+    pub(super) fn join(&mut self, need: Need, kind: ChooserKind) -> Waiting {
         let (found, receiver) = oneshot::channel();
-        self.insert(Waiter { need, access, found });
+        self.insert(Waiter { need, kind, found });
         Waiting(receiver)
     }
 
--- a/crates/gateway/src/dispatch/queue_tests.rs
+++ b/crates/gateway/src/dispatch/queue_tests.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use stairhinge::direct::AllowedRegions;
-use stairhinge::placing::{Access, Need};
+use stairhinge::placing::{ChooserKind, Need};
 use stairhinge::poison::Suspicion;
 
 use super::{Queue, Waiting};
@@ -26,7 +26,7 @@
 }
 
 fn join(queue: &mut Queue, priority: u8, route: u8) -> Waiting {
-    queue.join(need(priority, route), Access::Placer)
+    queue.join(need(priority, route), ChooserKind::Placer)
 }
 
 /// Gives places one at a time while each kind always has some that wait, and
--- a/crates/gateway/src/feed.rs
+++ b/crates/gateway/src/feed.rs
@@ -17,7 +17,7 @@
 use hyper::client::conn::http1;
 use stairhinge::Code;
 use stairhinge::direct::Replica;
-use stairhinge::placing::Seat;
+use stairhinge::placing::HallRole;
 use stairhinge_shell::decisions::Decision;
 use stairhinge_shell::http::headers;
 use tokio::task::JoinHandle;
@@ -109,11 +109,11 @@
     listener: FeedListener,
 ) -> HashMap<Arc<str>, Wanted> {
     let view = dispatcher.facts().view();
-    let seat = match listener.addr {
+    let role = match listener.addr {
         Some(own) if listener.hall_placing => {
-            Seat::of(own, &dispatcher.ranked())
+            HallRole::of(own, &dispatcher.ranked())
         }
-        _ => Seat::Placer,
+        _ => HallRole::Placer,
     };
     let mut near = HashMap::new();
     let mut far = HashMap::new();
@@ -129,12 +129,12 @@
         }
         let is_near = &*replica.hall == dispatcher.hall();
         let feeds = if is_near { &mut near } else { &mut far };
-        let often = is_near && seat == Seat::Placer;
+        let often = is_near && role == HallRole::Placer;
         let incarnation = Arc::clone(&replica.incarnation);
         let replica = Arc::clone(replica);
         feeds.insert(incarnation, Wanted { replica, often });
     }
-    if near.is_empty() || seat.hears_all() {
+    if near.is_empty() || role.listens_to_all_halls() {
         near.extend(far);
     }
     near
--- a/crates/gateway/src/forward/attempts.rs
+++ b/crates/gateway/src/forward/attempts.rs
@@ -7,7 +7,7 @@
 use stairhinge::direct::{
     AttemptResult, NextStep, Replica, Shortage, next_step,
 };
-use stairhinge::placing::{Lack, Need};
+use stairhinge::placing::{Need, NoPlaceReason};
 use stairhinge::poison::Suspicion;
 use stairhinge::{Code, Error};
 use stairhinge_shell::http::{Body, Failed};
@@ -146,9 +146,11 @@
             return Err(Failed::new(Error::new(Code::LostBackend, lack)));
         }
         let (code, shortage) = match lack {
-            Lack::Room => (Code::NoBackend, Shortage::NoRoom),
-            Lack::Replica => (Code::NoBackend, no_replica_shortage(&count)),
-            Lack::Region => (Code::NoRegion, Shortage::NoReplica),
+            NoPlaceReason::Room => (Code::NoBackend, Shortage::NoRoom),
+            NoPlaceReason::Replica => {
+                (Code::NoBackend, no_replica_shortage(&count))
+            }
+            NoPlaceReason::Region => (Code::NoRegion, Shortage::NoReplica),
         };
         Err(refused(Error::new(code, lack), shortage))
     }
--- a/crates/gateway/src/forward/refuse.rs
+++ b/crates/gateway/src/forward/refuse.rs
@@ -62,7 +62,8 @@
     if ran {
         return Failed::new(Error::new(Code::LostBackend, refusal));
     }
-    Failed::new(Error::new(Code::Quarantined, refusal)).with_back(refusal.back)
+    Failed::new(Error::new(Code::Quarantined, refusal))
+        .with_back(refusal.retry_after)
 }
 
 /// Returns the failure of a request that may have run.
--- a/crates/gateway/src/placing.rs
+++ b/crates/gateway/src/placing.rs
@@ -16,7 +16,7 @@
 use std::time::{Duration, Instant};
 
 use stairhinge::placing::{
-    Lack, Message, Need, Placer, PlacerChoice, Seat, Verdict,
+    HallRole, Message, Need, NoPlaceReason, Placer, PlacerChoice, Verdict,
 };
 use stairhinge::{Code, Error};
 use stairhinge_shell::decisions::Decision;
@@ -96,7 +96,7 @@
         mut need: Need,
         until: Instant,
         left: Duration,
-    ) -> Result<Place, Lack> {
+    ) -> Result<Place, NoPlaceReason> {
         let resting = self.dispatcher.resting_replicas(&need.service);
         let mut placer_need = need.clone();
         placer_need.tried.extend(resting.iter().take(MOST_RESTING).cloned());
@@ -108,7 +108,7 @@
         };
         let ranked = self.dispatcher.ranked();
         let mut why = Chooser::NoPlacer;
-        for _ in 0..PlacerChoice::MOST_ASKED {
+        for _ in 0..PlacerChoice::MAX_PLACERS_ASKED {
             let now = self.dispatcher.facts().now();
             let placer = match peers.choice().choose(&ranked, now) {
                 None => break,
@@ -120,7 +120,9 @@
             };
             match self.ask(peers, placer, &placer_need, until, left).await {
                 Ok(place) => return Ok(place),
-                Err(Asked::Refused(Lack::Room)) => return Err(Lack::Room),
+                Err(Asked::Refused(NoPlaceReason::Room)) => {
+                    return Err(NoPlaceReason::Room);
+                }
                 // What this entry knows of may still do.
                 Err(Asked::Refused(_)) => break,
                 Err(Asked::Nothing(reason)) => why = reason,
@@ -134,9 +136,9 @@
         need: Need,
         until: Instant,
         chooser: Chooser,
-    ) -> Result<Place, Lack> {
-        let access = chooser.access();
-        let mut place = self.dispatcher.place(need, until, access).await?;
+    ) -> Result<Place, NoPlaceReason> {
+        let kind = chooser.kind();
+        let mut place = self.dispatcher.place(need, until, kind).await?;
         place.chooser = chooser;
         Ok(place)
     }
@@ -150,7 +152,7 @@
         until: Instant,
         left: Duration,
     ) -> Result<Place, Asked> {
-        let patience = peers.choice().patience();
+        let patience = peers.choice().answer_timeout();
         let asked = Instant::now();
         let mut question = peers.asker.ask(placer, need, until, left);
         let mut verdict = question.answer(patience).await;
@@ -168,7 +170,7 @@
             }
             Answer::Verdict(Verdict::Unready) => {
                 let now = self.dispatcher.facts().now();
-                peers.choice().unready(placer, now);
+                peers.choice().record_unready(placer, now);
                 return Err(Asked::Nothing(Chooser::Unready));
             }
             Answer::Verdict(Verdict::Queued) | Answer::Silence => {
@@ -183,7 +185,7 @@
 
     fn note_answer(&self, peers: &Peers, placer: SocketAddr, took: Duration) {
         let now = self.dispatcher.facts().now();
-        let silent = peers.choice().answered(placer, took, now);
+        let silent = peers.choice().record_answer(placer, took, now);
         let Some(silent) = silent else { return };
         self.dispatcher.facts().log().write(&Decision::DependencyRegained {
             dependency: &format!("placer {placer}"),
@@ -193,7 +195,7 @@
 
     fn note_silence(&self, peers: &Peers, placer: SocketAddr) {
         let now = self.dispatcher.facts().now();
-        if !peers.choice().silent(placer, now) {
+        if !peers.choice().record_timeout(placer, now) {
             return;
         }
         self.dispatcher.facts().log().write(&Decision::DependencyLost {
@@ -262,7 +264,7 @@
     fn look(&self, peers: &Peers) {
         let ranked = self.dispatcher.ranked();
         peers.choice().retain(&ranked);
-        let placer = Seat::of(peers.own, &ranked) == Seat::Placer;
+        let placer = HallRole::of(peers.own, &ranked) == HallRole::Placer;
         let ready = peers.places && placer && self.dispatcher.hears_hall();
         peers.ready.store(ready, Ordering::Relaxed);
         peers.given.look(&self.dispatcher);
@@ -284,7 +286,7 @@
 /// Why a question brought no place.
 enum Asked {
     /// There is none.
-    Refused(Lack),
+    Refused(NoPlaceReason),
     /// The placer could not say.
     Nothing(Chooser),
 }
--- a/crates/gateway/src/placing/chooser.rs
+++ b/crates/gateway/src/placing/chooser.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use stairhinge::placing::Access;
+use stairhinge::placing::ChooserKind;
 
 /// Who chose a request's replica, and why.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -36,12 +36,12 @@
 
     /// Returns how this choice counts against a bound that holds for all
     /// entries.
-    pub(crate) const fn access(self) -> Access {
+    pub(crate) const fn kind(self) -> ChooserKind {
         match self {
-            Chooser::Alone => Access::All,
-            Chooser::IsPlacer => Access::Placer,
-            Chooser::Apart => Access::Independent,
-            _ => Access::Fallback,
+            Chooser::Alone => ChooserKind::Sole,
+            Chooser::IsPlacer => ChooserKind::Placer,
+            Chooser::Apart => ChooserKind::Independent,
+            _ => ChooserKind::Fallback,
         }
     }
 
--- a/crates/gateway/src/placing/placer.rs
+++ b/crates/gateway/src/placing/placer.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use stairhinge::placing::{
-    Access, Lack, Message, Outcome, PlaceEvent, PlaceKey, PlaceTable, Placed,
-    Question, Verdict,
+    ChooserKind, Message, NoPlaceReason, Outcome, PlaceEvent, PlaceKey,
+    PlaceTable, Placed, Question, Verdict,
 };
 
 use crate::dispatch::{Dispatcher, Found, Place};
@@ -28,7 +28,7 @@
         question: Question,
         ready: bool,
     ) {
-        let key = PlaceKey { asker: from, number: question.number };
+        let key = PlaceKey { requester: from, number: question.number };
         if self.lock().get_mut(&key).is_some() {
             // The answer to a doubled question would be taken for one that
             // came too late, and its place would be given back.
@@ -46,7 +46,7 @@
         match dispatcher.request(
             question.need,
             !wait.is_zero(),
-            Access::Placer,
+            ChooserKind::Placer,
         ) {
             Found::Place(place) => {
                 if let Some(placed) = self.give(dispatcher, key, place, left) {
@@ -65,7 +65,7 @@
                         Some(place) => {
                             given.give(&dispatcher, key, place, left)
                         }
-                        None => Some(Verdict::Refused(Lack::Room)),
+                        None => Some(Verdict::Refused(NoPlaceReason::Room)),
                     };
                     let number = key.number;
                     let Some(verdict) = verdict else { return };
@@ -95,7 +95,7 @@
             report_age_ms: place.report_age.map(|a| a.as_millis() as u64),
             limit: place.limit,
         };
-        let doubled = self.lock().give(key, place, now, left);
+        let doubled = self.lock().insert(key, place, now, left);
         doubled.is_none().then_some(Verdict::Placed(placed))
     }
 
@@ -106,7 +106,7 @@
         number: u64,
         event: PlaceEvent,
     ) {
-        let key = PlaceKey { asker: from, number };
+        let key = PlaceKey { requester: from, number };
         match event {
             PlaceEvent::Began { took_ms } => {
                 let took = Duration::from_millis(u64::from(took_ms));
@@ -135,7 +135,7 @@
                 }
             }
             PlaceEvent::Ended { outcome } => {
-                let ended = self.lock().end(&key);
+                let ended = self.lock().remove(&key);
                 let Some(mut place) = ended else { return };
                 if outcome != Outcome::Unknown {
                     place.note(outcome);
@@ -149,9 +149,9 @@
         let now = dispatcher.facts().now();
         let totals = dispatcher.reported_totals();
         let mut table = self.lock();
-        let expired = table.expire(now);
+        let expired = table.remove_expired(now);
         let name = |place: &Place| Arc::clone(&place.replica.incarnation);
-        let unseen = table.reconcile(now, name, &totals);
+        let unseen = table.remove_unreported(now, name, &totals);
         drop(table);
         drop((expired, unseen));
     }
--- a/crates/gateway/src/poison.rs
+++ b/crates/gateway/src/poison.rs
@@ -56,7 +56,7 @@
         let request = context.fingerprint();
         let now = self.facts.now();
         let admission = self.lock().admit(request, now);
-        if let Admission::Sent(suspicion) = &admission
+        if let Admission::Admitted(suspicion) = &admission
             && suspicion.trials > 0
         {
             self.log(&Decision::PoisonTried {
@@ -84,7 +84,7 @@
         }
         let request = context.fingerprint();
         let now = self.facts.now();
-        let admission = self.lock().still_admits(request, sent, now);
+        let admission = self.lock().recheck(request, sent, now);
         self.decide(context, admission).map(|_| ())
     }
 
@@ -94,7 +94,7 @@
         admission: Admission,
     ) -> Result<Suspicion, Refusal> {
         let refusal = match admission {
-            Admission::Sent(suspicion) => return Ok(suspicion),
+            Admission::Admitted(suspicion) => return Ok(suspicion),
             Admission::Refused(refusal) => refusal,
         };
         self.log(&Decision::PoisonRefused {
@@ -102,7 +102,7 @@
             fingerprint: &context.fingerprint().to_string(),
             replicas: &refusal.replicas,
             age_ms: refusal.age.as_millis() as u64,
-            back_ms: refusal.back.as_millis() as u64,
+            back_ms: refusal.retry_after.as_millis() as u64,
         });
         Err(refusal)
     }
@@ -124,7 +124,7 @@
         let incarnation = &replica.incarnation;
         let suspicion = {
             let mut table = self.lock();
-            let known = table.ended_under(request, sent, incarnation, now);
+            let known = table.record_end(request, sent, incarnation, now);
             self.known.store(table.len(), Ordering::Relaxed);
             known
         };
@@ -153,7 +153,7 @@
         }
         let request = context.fingerprint();
         let now = self.facts.now();
-        let before = self.lock().answered(request, now);
+        let before = self.lock().record_answer(request, now);
         let Some(before) = before else { return };
         self.log(&Decision::PoisonCleared {
             request: &context.caller.id,
@@ -166,7 +166,7 @@
     /// Takes note that a run of a request is over.
     pub(crate) fn released(&self, context: &RequestContext) {
         if !self.knows_nothing() {
-            self.lock().released(context.fingerprint());
+            self.lock().finish_run(context.fingerprint());
         }
     }
 
@@ -175,7 +175,7 @@
         if self.knows_nothing() {
             return;
         }
-        self.lock().given_up(context.fingerprint());
+        self.lock().record_give_up(context.fingerprint());
         self.changed.notify_one();
     }
 
--- a/crates/gateway/src/poison/gossip.rs
+++ b/crates/gateway/src/poison/gossip.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 use stairhinge::placing::Message;
-use stairhinge::poison::{PoisonNews, PoisonRecord};
+use stairhinge::poison::{PoisonMessage, PoisonRecord};
 
 use super::PoisonWatch;
 use crate::dispatch::Dispatcher;
@@ -90,7 +90,7 @@
             return;
         }
         let turn = if calm { beat / CALM } else { beat } as usize;
-        let digest = PoisonNews::Digest(self.watch.lock().digest());
+        let digest = PoisonMessage::Digest(self.watch.lock().digest());
         self.send(others[turn % others.len()], digest);
     }
 
@@ -128,30 +128,30 @@
     /// Tells all others what has changed here.
     fn tell(&self) {
         let now = self.watch.facts.now();
-        let records = self.watch.lock().take_untold(now);
+        let records = self.watch.lock().take_unsent(now);
         if !records.is_empty() {
             self.tell_all(&self.peers(), &records);
         }
     }
 
     fn tell_all(&self, to: &BTreeSet<SocketAddr>, records: &[PoisonRecord]) {
-        for part in records.chunks(PoisonNews::MOST_RECORDS) {
+        for part in records.chunks(PoisonMessage::MAX_RECORDS) {
             for addr in to {
-                self.send(*addr, PoisonNews::Changed(part.to_vec()));
+                self.send(*addr, PoisonMessage::Changed(part.to_vec()));
             }
         }
     }
 
     /// Takes in a message.
-    pub(crate) fn take(&self, from: SocketAddr, news: PoisonNews) {
+    pub(crate) fn take(&self, from: SocketAddr, news: PoisonMessage) {
         self.known
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .insert(from, Instant::now());
         match news {
-            PoisonNews::Changed(records) => self.learn(from, records),
-            PoisonNews::Digest(theirs) => self.answer(from, theirs),
-            PoisonNews::Differs { digest, records } => {
+            PoisonMessage::Changed(records) => self.learn(from, records),
+            PoisonMessage::Digest(theirs) => self.answer(from, theirs),
+            PoisonMessage::Differs { digest, records } => {
                 self.learn(from, records);
                 self.give_back(from, digest);
             }
@@ -181,18 +181,18 @@
             if digest == theirs {
                 return;
             }
-            let most = PoisonNews::MOST_RECORDS * MOST_PARTS;
-            (digest, table.next_part(most, now))
+            let most = PoisonMessage::MAX_RECORDS * MOST_PARTS;
+            (digest, table.next_batch(most, now))
         };
         if records.is_empty() {
             // The other one knows more; it tells some in answer to this.
             let records = Vec::new();
-            self.send(from, PoisonNews::Differs { digest, records });
+            self.send(from, PoisonMessage::Differs { digest, records });
             return;
         }
-        for part in records.chunks(PoisonNews::MOST_RECORDS) {
+        for part in records.chunks(PoisonMessage::MAX_RECORDS) {
             let records = part.to_vec();
-            self.send(from, PoisonNews::Differs { digest, records });
+            self.send(from, PoisonMessage::Differs { digest, records });
         }
     }
 
@@ -204,14 +204,14 @@
             if table.digest() == theirs {
                 return;
             }
-            table.next_part(PoisonNews::MOST_RECORDS, now)
+            table.next_batch(PoisonMessage::MAX_RECORDS, now)
         };
         if !records.is_empty() {
-            self.send(to, PoisonNews::Changed(records));
+            self.send(to, PoisonMessage::Changed(records));
         }
     }
 
-    fn send(&self, to: SocketAddr, news: PoisonNews) {
+    fn send(&self, to: SocketAddr, news: PoisonMessage) {
         self.wire.send(to, &Message::Poison(news));
     }
 }
--- a/crates/loader/src/listeners.rs
+++ b/crates/loader/src/listeners.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 
 use stairhinge::direct::HallEntry;
-use stairhinge::placing::ranked;
+use stairhinge::placing::leading_entries;
 use tokio::sync::Notify;
 
 /// The entries of a hall that others are told of: those that may read the
@@ -48,7 +48,7 @@
 
     /// Returns the leading ones of a hall's entries that listen now.
     pub(crate) fn leading(&self, hall: &str) -> Vec<SocketAddr> {
-        ranked(self.of_hall(hall).into_iter().map(|entry| entry.addr))
+        leading_entries(self.of_hall(hall).into_iter().map(|entry| entry.addr))
     }
 
     /// Returns how many of a hall's entries listen now, rounded up to a power
--- a/crates/model/src/quarantine.rs
+++ b/crates/model/src/quarantine.rs
@@ -142,7 +142,7 @@
         for entry in 0..self.entries {
             let mut table = table(state.known[entry]);
             let admission = table.admit(request(), NOW);
-            let Admission::Sent(sent) = admission else { continue };
+            let Admission::Admitted(sent) = admission else { continue };
             let mut to = state.clone();
             to.sent += 1;
             to.sent_on |= to.knew[entry];
@@ -167,7 +167,7 @@
                 _ => run.sent,
             };
             let replica = Arc::from("i");
-            table.ended_under(request(), sent, &replica, NOW);
+            table.record_end(request(), sent, &replica, NOW);
             self.learn(&mut to, run.entry, table.suspicion(request()));
         }
         next.push(("its replicas end".to_string(), to));
@@ -184,7 +184,7 @@
             to.knew = vec![false; self.entries];
             if self.without != Without::Clearing {
                 let mut table = table(to.known[run.entry]);
-                table.answered(request(), NOW);
+                table.record_answer(request(), NOW);
                 self.learn(&mut to, run.entry, table.suspicion(request()));
             }
             next.push((format!("entry {} has its answer", run.entry), to));
@@ -239,12 +239,13 @@
             return Some("sent on by an entry that knew it quarantined");
         }
         let held = state.known.iter().any(|k| k.is_quarantined());
-        if held && state.falls < Suspicion::LIMIT {
+        if held && state.falls < Suspicion::QUARANTINE_THRESHOLD {
             return Some("held though replicas ended less than three times");
         }
         // An entry alone hears of all answers.
         let alone = self.entries == 1;
-        if held && alone && state.falls_since < Suspicion::LIMIT {
+        if held && alone && state.falls_since < Suspicion::QUARANTINE_THRESHOLD
+        {
             return Some("held though it was answered in between");
         }
         None
--- a/crates/shell/src/node/poison.rs
+++ b/crates/shell/src/node/poison.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use stairhinge::poison::{
-    Fingerprint, PoisonNews, PoisonRecord, PoisonTable, Suspicion,
+    Fingerprint, PoisonMessage, PoisonRecord, PoisonTable, Suspicion,
 };
 
 use super::gossip::{near_few, one_a_hall};
@@ -43,8 +43,8 @@
     pub fn ended_under(&self, request: Fingerprint, sent: Suspicion) {
         let now = self.now();
         let name = Arc::clone(&self.identity().name);
-        let known = self.poison().ended_under(request, sent, &name, now);
-        self.poison().given_up(request);
+        let known = self.poison().record_end(request, sent, &name, now);
+        self.poison().record_give_up(request);
         let fields = [
             ("fingerprint", request.to_string()),
             ("ended", known.ended.to_string()),
@@ -58,7 +58,7 @@
     /// Takes note of a request's whole answer.
     pub fn answered_whole(&self, request: Fingerprint) {
         let now = self.now();
-        let Some(before) = self.poison().answered(request, now) else {
+        let Some(before) = self.poison().record_answer(request, now) else {
             return;
         };
         let (name, ended) = (request.to_string(), before.ended.to_string());
@@ -83,7 +83,7 @@
         let about: Vec<Fingerprint> = told.about.into_iter().collect();
         let mut records = table.records(&about, now);
         if digest != told.digest {
-            records.extend(table.next_part(PoisonNews::MOST_RECORDS, now));
+            records.extend(table.next_batch(PoisonMessage::MAX_RECORDS, now));
         }
         PoisonTold { digest, records, about: None }
     }
@@ -135,7 +135,7 @@
         let digest = table.digest();
         let records = match about {
             Some(request) => table.records(&[request], now),
-            None => table.next_part(PoisonNews::MOST_RECORDS, now),
+            None => table.next_batch(PoisonMessage::MAX_RECORDS, now),
         };
         PoisonTold { digest, records, about }
     }
@@ -155,7 +155,7 @@
             }
         }
         let now = node.now();
-        let news = node.poison().take_untold(now);
+        let news = node.poison().take_unsent(now);
         if news.is_empty() {
             continue;
         }
@@ -181,7 +181,7 @@
     records: &[PoisonRecord],
 ) {
     let told = addrs.into_iter().map(|addr| async move {
-        for part in records.chunks(PoisonNews::MOST_RECORDS) {
+        for part in records.chunks(PoisonMessage::MAX_RECORDS) {
             let digest = node.poison().digest();
             let told =
                 PoisonTold { digest, records: part.to_vec(), about: None };
--- a/src/direct/reader_choice.rs
+++ b/src/direct/reader_choice.rs
@@ -17,7 +17,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::Time;
-use crate::placing::LEADING;
+use crate::placing::MAX_LEADING_ENTRIES;
 
 /// An entry that answers others.
 #[derive(
@@ -49,7 +49,7 @@
 impl ReaderChoice {
     /// How many entries are asked before an entry reads the platform itself:
     /// as many of its hall as it is told of.
-    pub const MOST_ASKED: usize = LEADING;
+    pub const MOST_ASKED: usize = MAX_LEADING_ENTRIES;
 
     /// How many of a hall's entries with old news are enough to know that the
     /// platform has told the hall nothing.
@@ -192,7 +192,7 @@
         entries: &[HallEntry],
         leading: usize,
     ) -> Option<SocketAddr> {
-        if self.leads(entries) || leading < LEADING {
+        if self.leads(entries) || leading < MAX_LEADING_ENTRIES {
             return None;
         }
         self.first_alive(near(entries, &self.own.hall))
--- a/src/placing/access.rs
+++ b/src/placing/chooser_kind.rs
@@ -6,9 +6,9 @@
 
 /// The kind of chooser that a bound is divided by.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Access {
+pub enum ChooserKind {
     /// The only entry that chooses replicas.
-    All,
+    Sole,
     /// The placer of a hall, which chooses for all entries of the hall.
     Placer,
     /// One of many entries that all choose for themselves, without placers.
--- a/src/placing/cold_share.rs
+++ b/src/placing/cold_bound.rs
@@ -5,13 +5,13 @@
 //! for each such replica, and they share no state: neither do they talk about
 //! it, nor does one know what the others send.
 //!
-//! The bound is divided among the placers of the halls; see [`Access`].
+//! The bound is divided among the placers of the halls; see [`ChooserKind`].
 //! An entry that chooses by itself, with no placer, sends nothing to a cold
 //! replica: of such entries nobody knows how many there are.
 
 use std::time::Duration;
 
-use super::access::{Access, PLACERS};
+use super::chooser_kind::{ChooserKind, PLACERS};
 use super::sent_window::SendPace;
 
 /// The bound on requests that reach one cold replica in any second, over all
@@ -38,26 +38,33 @@
     /// replicas that are never cold.
     pub fn new(per_s: f64, overage: f64, slack: f64) -> Option<ColdBound> {
         let bound = ColdBound { rate: per_s * overage, slack };
-        (per_s > 0.0 && bound.most() > 0.0).then_some(bound)
+        (per_s > 0.0 && bound.max_per_second() > 0.0).then_some(bound)
     }
 
     /// Returns how many requests may reach a replica in any second.
-    pub fn most(&self) -> f64 {
+    pub fn max_per_second(&self) -> f64 {
         self.rate.max(0.0) + self.slack.max(0.0)
     }
 
     /// Returns the pace at which one chooser may send to a replica. `near` is
     /// whether the replica is in the chooser's hall, and `halls` the number of
     /// halls with choosers.
-    pub fn pace(&self, access: Access, near: bool, halls: usize) -> SendPace {
-        let placer = self.most() / PLACERS as f64;
+    pub fn pace(
+        &self,
+        access: ChooserKind,
+        near: bool,
+        halls: usize,
+    ) -> SendPace {
+        let placer = self.max_per_second() / PLACERS as f64;
         let others = halls.saturating_sub(1);
         let part = match access {
-            Access::Fallback | Access::Independent => 0.0,
-            Access::All => self.most(),
-            Access::Placer if others == 0 => placer,
-            Access::Placer if near => placer * ColdBound::NEAR,
-            Access::Placer => placer * (1.0 - ColdBound::NEAR) / others as f64,
+            ChooserKind::Fallback | ChooserKind::Independent => 0.0,
+            ChooserKind::Sole => self.max_per_second(),
+            ChooserKind::Placer if others == 0 => placer,
+            ChooserKind::Placer if near => placer * ColdBound::NEAR,
+            ChooserKind::Placer => {
+                placer * (1.0 - ColdBound::NEAR) / others as f64
+            }
         };
         SendPace::new(part as usize, ColdBound::SPAN)
     }
--- a/src/placing/cold_share_tests.rs
+++ b/src/placing/cold_bound_tests.rs
@@ -6,7 +6,7 @@
 use rand::SeedableRng as _;
 use rand::rngs::SmallRng;
 
-use super::{Access, ColdBound, SendPace, SentWindow};
+use super::{ChooserKind, ColdBound, SendPace, SentWindow};
 use crate::Time;
 
 /// How long requests come, in milliseconds.
@@ -23,11 +23,11 @@
     let mut choosers: Vec<(SendPace, SentWindow)> = Vec::new();
     for hall in 0..halls {
         for _ in 0..2 {
-            let pace = bound.pace(Access::Placer, hall == 0, halls);
+            let pace = bound.pace(ChooserKind::Placer, hall == 0, halls);
             choosers.push((pace, SentWindow::default()));
         }
         for _ in 0..20 {
-            let pace = bound.pace(Access::Fallback, hall == 0, halls);
+            let pace = bound.pace(ChooserKind::Fallback, hall == 0, halls);
             choosers.push((pace, SentWindow::default()));
         }
     }
@@ -37,7 +37,7 @@
         for (pace, window) in &mut choosers {
             let wanted = rng.random_ratio(1, 8);
             if wanted && window.has_room(*pace, now) {
-                window.note(now);
+                window.record(now);
                 sent.push((ms, ms + rng.random_range(0..MOST_WAY_MS)));
             }
         }
@@ -56,7 +56,7 @@
             let bound = ColdBound::new(per_s, 1.5, 5.0).unwrap();
             let most = busiest_second(bound, halls, 7);
             let case = format!("{halls} halls, {per_s} a second");
-            assert!(most as f64 <= bound.most(), "{case}: {most}");
+            assert!(most as f64 <= bound.max_per_second(), "{case}: {most}");
             assert!(most > 0, "{case}: nothing may be sent");
         }
     }
@@ -65,11 +65,11 @@
 #[test]
 fn the_replicas_own_hall_has_the_larger_part() {
     let bound = ColdBound::new(14.0, 1.5, 5.0).unwrap();
-    let near = bound.pace(Access::Placer, true, 3).most();
-    let far = bound.pace(Access::Placer, false, 3).most();
+    let near = bound.pace(ChooserKind::Placer, true, 3).max_requests();
+    let far = bound.pace(ChooserKind::Placer, false, 3).max_requests();
     assert!(near > far && far > 0, "{near} and {far}");
-    assert_eq!(bound.pace(Access::Fallback, true, 3).most(), 0);
-    assert_eq!(bound.pace(Access::All, true, 1).most(), 26);
+    assert_eq!(bound.pace(ChooserKind::Fallback, true, 3).max_requests(), 0);
+    assert_eq!(bound.pace(ChooserKind::Sole, true, 1).max_requests(), 26);
     assert_eq!(ColdBound::new(0.0, 1.5, 5.0), None, "never cold");
 }
 
@@ -85,7 +85,7 @@
         for gap in gaps {
             now += gap;
             if window.has_room(pace, Time::from_millis(now)) {
-                window.note(Time::from_millis(now));
+                window.record(Time::from_millis(now));
                 sent.push(now);
             }
         }
--- a/src/placing/message.rs
+++ b/src/placing/message.rs
@@ -14,7 +14,7 @@
 
 use super::RateLimit;
 use crate::direct::AllowedRegions;
-use crate::poison::{PoisonNews, Suspicion};
+use crate::poison::{PoisonMessage, Suspicion};
 
 /// One datagram.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
@@ -37,7 +37,7 @@
         event: PlaceEvent,
     },
     /// An entry tells of requests that end replicas.
-    Poison(PoisonNews),
+    Poison(PoisonMessage),
 }
 
 /// What a request needs of a replica.
@@ -100,7 +100,7 @@
     /// No replica has room; the question waits, and a second answer follows.
     Queued,
     /// There is no place.
-    Refused(Lack),
+    Refused(NoPlaceReason),
     /// The placer does not know enough of its hall to place.
     Unready,
 }
@@ -129,7 +129,7 @@
 /// Why there is no place.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Lack {
+pub enum NoPlaceReason {
     /// No replica serves what is needed.
     Replica,
     /// None had room in time.
@@ -138,12 +138,14 @@
     Region,
 }
 
-impl fmt::Display for Lack {
+impl fmt::Display for NoPlaceReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Lack::Replica => "no replica serves this",
-            Lack::Room => "no replica had room in time",
-            Lack::Region => "no replica serves this in an allowed region",
+            NoPlaceReason::Replica => "no replica serves this",
+            NoPlaceReason::Room => "no replica had room in time",
+            NoPlaceReason::Region => {
+                "no replica serves this in an allowed region"
+            }
         })
     }
 }
--- a/src/placing/place_table.rs
+++ b/src/placing/place_table.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct PlaceKey {
     /// The asker.
-    pub asker: SocketAddr,
+    pub requester: SocketAddr,
     /// Its number for the question.
     pub number: u64,
 }
@@ -46,7 +46,7 @@
     /// Takes in a place given at `now` for at most `left`. A second one of
     /// the same key is handed back, so that a doubled question takes one
     /// place.
-    pub fn give(
+    pub fn insert(
         &mut self,
         key: PlaceKey,
         place: P,
@@ -67,13 +67,13 @@
     }
 
     /// Takes a place out at its end.
-    pub fn end(&mut self, key: &PlaceKey) -> Option<P> {
+    pub fn remove(&mut self, key: &PlaceKey) -> Option<P> {
         self.places.remove(key).map(|out| out.place)
     }
 
     /// Takes the places out whose time is over: their ends were lost, or
     /// their askers are gone.
-    pub fn expire(&mut self, now: Time) -> Vec<P> {
+    pub fn remove_expired(&mut self, now: Time) -> Vec<P> {
         let over = self.keys_of(|out| out.until <= now);
         self.take(over)
     }
@@ -81,7 +81,7 @@
     /// Takes places out that reports do not show: `totals` says how many
     /// requests are at a replica by a recent report, and `replica` names the
     /// replica of a place. Of more old places than that the oldest are over.
-    pub fn reconcile<K: Eq + Hash>(
+    pub fn remove_unreported<K: Eq + Hash>(
         &mut self,
         now: Time,
         replica: impl Fn(&P) -> K,
@@ -122,7 +122,7 @@
         self.expired += keys.len() as u64;
         let mut taken = Vec::with_capacity(keys.len());
         for (_, key) in keys {
-            taken.extend(self.end(&key));
+            taken.extend(self.remove(&key));
         }
         taken
     }
--- a/src/placing/placer_choice.rs
+++ b/src/placing/placer_choice.rs
@@ -34,8 +34,8 @@
 
 impl PlacerChoice {
     /// How many of the first in rank are asked for one request; each that is
-    /// silent costs [`PlacerChoice::patience`].
-    pub const MOST_ASKED: usize = 2;
+    /// silent costs [`PlacerChoice::answer_timeout`].
+    pub const MAX_PLACERS_ASKED: usize = 2;
 
     /// Silences in a row from which on a placer is left out: a single one
     /// may be a lost datagram.
@@ -81,7 +81,7 @@
     /// Returns who places now, given who comes first; `None` if nobody that
     /// is well is among the first.
     pub fn choose(&self, ranked: &[SocketAddr], now: Time) -> Option<Placer> {
-        for addr in ranked.iter().take(PlacerChoice::MOST_ASKED) {
+        for addr in ranked.iter().take(PlacerChoice::MAX_PLACERS_ASKED) {
             if *addr == self.own {
                 return Some(Placer::Own);
             }
@@ -94,7 +94,7 @@
     }
 
     /// Returns how long a first answer is waited for.
-    pub fn patience(&self) -> Duration {
+    pub fn answer_timeout(&self) -> Duration {
         let ms = (self.usual_ms * PlacerChoice::PATIENCE)
             .clamp(PlacerChoice::LEAST_MS, PlacerChoice::MOST_MS);
         Duration::from_secs_f64(ms / 1_000.0)
@@ -102,7 +102,7 @@
 
     /// Notes that a placer gave its first answer after `took`; returns for
     /// how long it had been silent, if it was left out for that.
-    pub fn answered(
+    pub fn record_answer(
         &mut self,
         placer: SocketAddr,
         took: Duration,
@@ -117,7 +117,7 @@
 
     /// Notes that a placer gave no answer in time; returns whether it is left
     /// out from now on.
-    pub fn silent(&mut self, placer: SocketAddr, now: Time) -> bool {
+    pub fn record_timeout(&mut self, placer: SocketAddr, now: Time) -> bool {
         let rest = self.rests.entry(placer).or_insert(Rest {
             silences: 0,
             since: now,
@@ -139,7 +139,7 @@
     }
 
     /// Notes that a placer does not know enough of its hall yet.
-    pub fn unready(&mut self, placer: SocketAddr, now: Time) {
+    pub fn record_unready(&mut self, placer: SocketAddr, now: Time) {
         let until = now.after(PlacerChoice::UNREADY_REST);
         let rest = Rest { silences: 0, since: now, until };
         self.rests.insert(placer, rest);
--- a/src/placing/load_tests.rs
+++ b/src/placing/placer_simulation_tests.rs
@@ -232,7 +232,7 @@
                 self.counts[engine].1 -= 1;
                 if own {
                     self.entries[entry].ended(engine);
-                } else if self.table.end(&key(entry, number)).is_some()
+                } else if self.table.remove(&key(entry, number)).is_some()
                     && let Some(placer) = &mut self.placer
                 {
                     placer.ended(engine);
@@ -276,7 +276,7 @@
             let left = Duration::from_secs(6);
             let place = (engine, tokens);
             let time = Time::from_millis(now);
-            self.table.give(key(entry, number), place, time, left);
+            self.table.insert(key(entry, number), place, time, left);
         }
         let (pending, running) = self.counts[engine];
         let begin = self.read_until[engine].max(now as f64)
@@ -307,7 +307,7 @@
 
 fn key(entry: usize, number: u64) -> PlaceKey {
     let last = u8::try_from(entry).unwrap();
-    PlaceKey { asker: ([10, 0, 0, last], 7700).into(), number }
+    PlaceKey { requester: ([10, 0, 0, last], 7700).into(), number }
 }
 
 /// In time by themselves: 0.987 through 4 entries, 0.837 through 16, 0.727
--- a/src/placing/rate_limit.rs
+++ b/src/placing/rate_limit.rs
@@ -10,7 +10,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::access::{Access, PLACERS};
+use super::chooser_kind::{ChooserKind, PLACERS};
 use super::sent_window::{SendPace, SentWindow};
 use crate::{Code, Error, Time};
 
@@ -81,7 +81,7 @@
     /// left for second placers and for entries that choose for themselves.
     pub fn pace(
         self,
-        access: Access,
+        access: ChooserKind,
         near: bool,
         halls: usize,
         entries: Option<usize>,
@@ -94,18 +94,18 @@
         let others = halls.saturating_sub(1);
         let far = if others == 0 { RateLimit::FAR } else { 0.0 };
         let quota = match access {
-            Access::All => limit,
-            Access::Independent => {
+            ChooserKind::Sole => limit,
+            ChooserKind::Independent => {
                 quota(tolerated, entries).min(limit / entries as f64)
             }
-            Access::Fallback => {
+            ChooserKind::Fallback => {
                 quota(tolerated * RateLimit::FALLBACK, entries)
             }
-            Access::Placer if near || others == 0 => {
+            ChooserKind::Placer if near || others == 0 => {
                 let part = RateLimit::NEAR + far;
                 quota(tolerated * part, PLACERS).min(limit)
             }
-            Access::Placer => {
+            ChooserKind::Placer => {
                 quota(tolerated * RateLimit::FAR, PLACERS * others)
             }
         };
--- a/src/placing/rate_share_tests.rs
+++ b/src/placing/rate_limit_simulation_tests.rs
@@ -3,7 +3,7 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt as _, SeedableRng as _};
 
-use super::{Access, KnownLimit, RateLimit, SendPace, SentWindow};
+use super::{ChooserKind, KnownLimit, RateLimit, SendPace, SentWindow};
 use crate::Time;
 
 /// How long requests come, in milliseconds.
@@ -35,7 +35,7 @@
     /// The entries of each hall that choose for themselves.
     others: usize,
     /// How choices of the `others` count against the limit.
-    access: Access,
+    access: ChooserKind,
 }
 
 impl Fleet {
@@ -45,7 +45,8 @@
         for hall in 0..self.halls {
             for i in 0..self.placers + self.others {
                 let placer = i < self.placers;
-                let access = if placer { Access::Placer } else { self.access };
+                let access =
+                    if placer { ChooserKind::Placer } else { self.access };
                 let near = hall == 0;
                 choosers.push(Chooser {
                     pace: limit.pace(access, near, self.halls, entries),
@@ -73,7 +74,7 @@
                 let Chooser { pace, offset, sent, known } = chooser;
                 let wanted = rng.random_ratio(1, 8);
                 if wanted && known.has_room(*pace, sent, *offset, now) {
-                    sent.note(now);
+                    sent.record(now);
                     arrived.push(ms + rng.random_range(0..MOST_WAY_MS));
                 }
             }
@@ -102,7 +103,7 @@
         for per_s in LIMITS {
             let limit = RateLimit::new(per_s).unwrap();
             for seed in 0..8 {
-                let access = Access::Fallback;
+                let access = ChooserKind::Fallback;
                 let fleet = Fleet { halls, placers: 2, others: 18, access };
                 let (most, _) = fleet.simulate(limit, seed);
                 let case = format!("{fleet:?}, {per_s} a second, {seed}");
@@ -118,7 +119,7 @@
         for per_s in LIMITS {
             let limit = RateLimit::new(per_s).unwrap();
             for seed in 0..8 {
-                let access = Access::Independent;
+                let access = ChooserKind::Independent;
                 let fleet = Fleet { halls, placers: 0, others: 20, access };
                 let (most, _) = fleet.simulate(limit, seed);
                 let case = format!("{fleet:?}, {per_s} a second, {seed}");
@@ -133,7 +134,7 @@
     for halls in [1, 3, 5] {
         for per_s in [1.7, 2.7, 8.0, 40.0] {
             let limit = RateLimit::new(per_s).unwrap();
-            let access = Access::Fallback;
+            let access = ChooserKind::Fallback;
             let fleet = Fleet { halls, placers: 1, others: 0, access };
             let (_, rate) = fleet.simulate(limit, 3);
             let case = format!("{halls} halls, {per_s} a second");
@@ -146,7 +147,7 @@
 #[test]
 fn a_replica_that_takes_nothing_is_tried_now_and_then() {
     let limit = RateLimit::new(0.0).unwrap();
-    let access = Access::Fallback;
+    let access = ChooserKind::Fallback;
     let fleet = Fleet { halls: 3, placers: 1, others: 0, access };
     let (_, rate) = fleet.simulate(limit, 5);
     assert!(rate > 0.0 && rate < 0.3, "{rate}");
--- a/src/placing/urgency.rs
+++ b/src/placing/recent_objectives.rs
@@ -17,7 +17,7 @@
 
 /// The shortest objectives of the requests that came of late.
 #[derive(Clone, Debug, Default)]
-pub struct Urgency {
+pub struct RecentObjectives {
     services: HashMap<Arc<str>, BTreeMap<(u8, u8), Shortest>>,
 }
 
@@ -30,12 +30,12 @@
     before: Duration,
 }
 
-impl Urgency {
+impl RecentObjectives {
     /// How long a kind counts of which nothing more comes, at least.
     pub const REMEMBERED: Duration = Duration::from_secs(2);
 
     /// Takes note of a request.
-    pub fn note(&mut self, need: &Need, now: Time) {
+    pub fn record(&mut self, need: &Need, now: Time) {
         let service = match self.services.get_mut(&need.service) {
             Some(service) => service,
             None => {
@@ -52,7 +52,7 @@
     }
 
     /// Returns the objective with which a request counts.
-    pub fn objective(&self, need: &Need, now: Time) -> Duration {
+    pub fn effective_objective(&self, need: &Need, now: Time) -> Duration {
         let Some(service) = self.services.get(&need.service) else {
             return need.objective;
         };
@@ -67,7 +67,7 @@
 impl Shortest {
     fn roll(&mut self, now: Time) {
         let spans = now.since(self.begun).as_millis()
-            / Urgency::REMEMBERED.as_millis();
+            / RecentObjectives::REMEMBERED.as_millis();
         if spans == 0 {
             return;
         }
--- a/src/placing/urgency_tests.rs
+++ b/src/placing/recent_objectives_tests.rs
@@ -7,7 +7,7 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt as _, SeedableRng as _};
 
-use super::{Need, Urgency};
+use super::{Need, RecentObjectives};
 use crate::Time;
 use crate::direct::AllowedRegions;
 use crate::direct::balance::{Candidate, Load, Pace, choose};
@@ -71,7 +71,7 @@
 /// longest that a prompt of the first kind waited, in milliseconds.
 fn play(kinds: &[Kind], counted: bool) -> (Vec<f64>, f64) {
     let mut rng = SmallRng::seed_from_u64(11);
-    let mut urgency = Urgency::default();
+    let mut recent_objectives = RecentObjectives::default();
     let mut read_until = [0.0_f64; REPLICAS];
     let mut busy: Vec<Vec<u64>> = vec![Vec::new(); REPLICAS];
     let mut counts = vec![(0_u32, 0_u32); kinds.len()];
@@ -90,9 +90,9 @@
                 continue;
             }
             let need = need(priority, objective);
-            urgency.note(&need, now);
+            recent_objectives.record(&need, now);
             let bound = match counted {
-                true => urgency.objective(&need, now),
+                true => recent_objectives.effective_objective(&need, now),
                 false => need.objective,
             };
             let most_ms = PART * bound.as_millis() as f64;
@@ -150,19 +150,32 @@
 
 #[test]
 fn only_what_is_as_urgent_and_came_of_late_counts() {
-    let mut urgency = Urgency::default();
+    let mut recent_objectives = RecentObjectives::default();
     let at = Time::from_millis;
-    let spans = |n: u64| Urgency::REMEMBERED.as_millis() as u64 * n;
-    urgency.note(&need(1, 400), at(0));
-    let ms = |urgency: &Urgency, priority, now| {
-        urgency.objective(&need(priority, 800), at(now)).as_millis()
+    let spans = |n: u64| RecentObjectives::REMEMBERED.as_millis() as u64 * n;
+    recent_objectives.record(&need(1, 400), at(0));
+    let ms = |recent_objectives: &RecentObjectives, priority, now| {
+        recent_objectives
+            .effective_objective(&need(priority, 800), at(now))
+            .as_millis()
     };
-    assert_eq!(ms(&urgency, 2, 10), 400);
-    assert_eq!(ms(&urgency, 1, 10), 400, "of the same urgency");
-    assert_eq!(ms(&urgency, 0, 10), 800, "less urgent than this one");
-    assert_eq!(ms(&urgency, 2, spans(1) + 1), 400);
-    assert_eq!(ms(&urgency, 2, spans(2) + 1), 800, "no more of it came");
+    assert_eq!(ms(&recent_objectives, 2, 10), 400);
+    assert_eq!(ms(&recent_objectives, 1, 10), 400, "of the same urgency");
+    assert_eq!(
+        ms(&recent_objectives, 0, 10),
+        800,
+        "less urgent than this one"
+    );
+    assert_eq!(ms(&recent_objectives, 2, spans(1) + 1), 400);
+    assert_eq!(
+        ms(&recent_objectives, 2, spans(2) + 1),
+        800,
+        "no more of it came"
+    );
     let mut other = need(2, 800);
     other.service = Arc::from("other");
-    assert_eq!(urgency.objective(&other, at(10)).as_millis(), 800);
+    assert_eq!(
+        recent_objectives.effective_objective(&other, at(10)).as_millis(),
+        800
+    );
 }
--- a/src/placing/sent_window.rs
+++ b/src/placing/sent_window.rs
@@ -32,7 +32,7 @@
     const MIN_QUOTA: f64 = 1e-4;
 
     /// Returns the maximum number of requests in a span.
-    pub const fn most(self) -> usize {
+    pub const fn max_requests(self) -> usize {
         self.most
     }
 
@@ -64,7 +64,7 @@
     }
 
     /// Records a request sent at `now`.
-    pub fn note(&mut self, now: Time) {
+    pub fn record(&mut self, now: Time) {
         self.sent.push_back(now);
         while self.sent.len() > 1
             && now.since(self.sent[0]) > SentWindow::RETENTION
--- a/src/poison.rs
+++ b/src/poison.rs
@@ -4,7 +4,7 @@
 //! to any entry. Where the request itself ends the replica, each try costs a
 //! replica and all that runs there. So a request is known over all its tries
 //! by what it asks, its [`Fingerprint`], and entries tell one another what
-//! became of it ([`PoisonNews`]).
+//! became of it ([`PoisonMessage`]).
 //!
 //! A [`PoisonTable`] counts the replicas that ended under a request *one
 //! after the other*: a run counts one more than was known when it was sent.
@@ -19,14 +19,14 @@
 
 mod admission;
 mod fingerprint;
-mod known;
-mod news;
+mod message;
 mod record;
+mod request_state;
 mod table;
 
 pub use self::admission::{Admission, Refusal, RefusalReason};
 pub use self::fingerprint::{Fingerprint, Identity};
-pub use self::news::PoisonNews;
+pub use self::message::PoisonMessage;
 pub use self::record::{PoisonRecord, Suspicion};
 pub use self::table::PoisonTable;
 
--- a/src/poison/admission.rs
+++ b/src/poison/admission.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Admission {
     /// It may, and this was known of it then.
-    Sent(Suspicion),
+    Admitted(Suspicion),
     /// It may not.
     Refused(Refusal),
 }
@@ -25,7 +25,7 @@
     /// How long ago that became known here.
     pub age: Duration,
     /// When it may be sent again.
-    pub back: Duration,
+    pub retry_after: Duration,
 }
 
 /// What keeps a request back.
--- a/src/poison/news.rs
+++ b/src/poison/message.rs
@@ -7,14 +7,14 @@
 /// One message; each fits into a datagram.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum PoisonNews {
+pub enum PoisonMessage {
     /// What has just changed. Nothing is answered.
     Changed(Vec<PoisonRecord>),
     /// Asks for what the sender may lack, whose table has this digest.
     Digest(u64),
     /// Answers a digest that differs: the digest of the sender's table, and
     /// records of it. What the receiver has beside them it sends back as
-    /// [`PoisonNews::Changed`].
+    /// [`PoisonMessage::Changed`].
     Differs {
         /// Of the whole table.
         digest: u64,
@@ -23,8 +23,8 @@
     },
 }
 
-impl PoisonNews {
+impl PoisonMessage {
     /// The most records in one message: with the longest names of three
     /// replicas each takes 350 bytes of JSON, and a datagram 4,096 at most.
-    pub const MOST_RECORDS: usize = 8;
+    pub const MAX_RECORDS: usize = 8;
 }
--- a/src/poison/record.rs
+++ b/src/poison/record.rs
@@ -39,25 +39,26 @@
     /// So many replicas have to end under a request, one after the other,
     /// until it is quarantined. With two, a request that ran beside a poisoned
     /// one and was sent to the same second replica would be.
-    pub const LIMIT: u8 = 3;
+    pub const QUARANTINE_THRESHOLD: u8 = 3;
 
     /// The most trials of a quarantined request.
     pub const MOST_TRIALS: u8 = 3;
 
     /// Returns whether the request is kept from replicas.
     pub const fn is_quarantined(self) -> bool {
-        self.ended >= Suspicion::LIMIT
+        self.ended >= Suspicion::QUARANTINE_THRESHOLD
     }
 
     /// Returns whether one more replica that ends makes it quarantined, or
     /// keeps it so: its runs are kept apart from one another.
-    pub const fn is_last(self) -> bool {
-        self.ended + 1 >= Suspicion::LIMIT
+    pub const fn requires_exclusive_run(self) -> bool {
+        self.ended + 1 >= Suspicion::QUARANTINE_THRESHOLD
     }
 
     /// Returns whether the counts are within their ranges.
     pub(super) const fn is_valid(self) -> bool {
-        self.ended <= Suspicion::LIMIT && self.trials <= Suspicion::MOST_TRIALS
+        self.ended <= Suspicion::QUARANTINE_THRESHOLD
+            && self.trials <= Suspicion::MOST_TRIALS
     }
 }
 
@@ -102,7 +103,7 @@
 
 impl PoisonRecord {
     /// The most bytes of a replica's name that are told: with
-    /// [`PoisonNews::MOST_RECORDS`](super::PoisonNews::MOST_RECORDS) records
+    /// [`PoisonMessage::MAX_RECORDS`](super::PoisonMessage::MAX_RECORDS) records
     /// of three names each a message stays within a datagram.
     const MOST_NAME: usize = 64;
 
--- a/src/poison/known.rs
+++ b/src/poison/request_state.rs
@@ -76,7 +76,7 @@
             reason,
             replicas: self.replicas.clone(),
             age: self.age(now),
-            back,
+            retry_after: back,
         })
     }
 }
--- a/src/poison/table.rs
+++ b/src/poison/table.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::known::Known;
+use super::request_state::Known;
 use super::{Admission, Fingerprint, PoisonRecord, RefusalReason, Suspicion};
 use crate::{Digest, Time};
 
@@ -33,7 +33,7 @@
     /// How long no other run of a request begins that is on trial: over twice
     /// the longest span seen between such a request's arrival at a replica
     /// under load and the end of that, 0.55 s.
-    pub const TRIAL: Duration = Duration::from_millis(1_500);
+    pub const TRIAL_PERIOD: Duration = Duration::from_millis(1_500);
 
     /// How long a request is remembered under which fewer replicas ended than
     /// the limit. One that comes less often is one more end a day.
@@ -78,7 +78,7 @@
     /// Says whether a request may be sent to a replica now.
     pub fn admit(&mut self, request: Fingerprint, now: Time) -> Admission {
         let Some(known) = self.known.get_mut(&request) else {
-            return Admission::Sent(Suspicion::default());
+            return Admission::Admitted(Suspicion::default());
         };
         known.seen = Some(now);
         if let Some(until) = known.alone_until.filter(|until| now < *until) {
@@ -96,15 +96,15 @@
             known.change(now);
             self.untold.insert(request);
         }
-        if known.suspicion.is_last() {
-            known.alone_until = Some(now.after(PoisonTable::TRIAL));
+        if known.suspicion.requires_exclusive_run() {
+            known.alone_until = Some(now.after(PoisonTable::TRIAL_PERIOD));
         }
-        Admission::Sent(known.suspicion)
+        Admission::Admitted(known.suspicion)
     }
 
     /// Says whether a request that was to be sent may still be, after what
     /// has become known meanwhile.
-    pub fn still_admits(
+    pub fn recheck(
         &self,
         request: Fingerprint,
         sent: Suspicion,
@@ -118,13 +118,13 @@
                 let back = known.back(now);
                 known.refusal(RefusalReason::Quarantined, back, now)
             }
-            None => Admission::Sent(sent),
+            None => Admission::Admitted(sent),
         }
     }
 
     /// Takes note that a replica ended under a request of which `sent` was
     /// known when it was sent there, and returns what is known now.
-    pub fn ended_under(
+    pub fn record_end(
         &mut self,
         request: Fingerprint,
         sent: Suspicion,
@@ -138,7 +138,7 @@
         if current.cleared > sent.cleared {
             return current;
         }
-        let ended = (sent.ended + 1).min(Suspicion::LIMIT);
+        let ended = (sent.ended + 1).min(Suspicion::QUARANTINE_THRESHOLD);
         let next = Suspicion { ended, ..sent };
         if next < current {
             return current;
@@ -157,7 +157,7 @@
 
     /// Takes note of a whole answer: a request that has one is sound. Returns
     /// what was known, if anything spoke against it.
-    pub fn answered(
+    pub fn record_answer(
         &mut self,
         request: Fingerprint,
         now: Time,
@@ -179,7 +179,7 @@
     }
 
     /// Takes note that a run of a request is over, so that another may begin.
-    pub fn released(&mut self, request: Fingerprint) {
+    pub fn finish_run(&mut self, request: Fingerprint) {
         if let Some(known) = self.known.get_mut(&request) {
             known.alone_until = None;
         }
@@ -187,7 +187,7 @@
 
     /// Takes note that a request is sent on no more, so that its caller may
     /// come with it to any entry: what is known of it is told.
-    pub fn given_up(&mut self, request: Fingerprint) {
+    pub fn record_give_up(&mut self, request: Fingerprint) {
         let known = self.known.get(&request);
         if known.is_some_and(|k| k.suspicion.ended > 0 && !k.told) {
             self.tell(request);
@@ -224,7 +224,10 @@
             return false;
         }
         let before = record.age();
-        let told = record.replicas.iter().take(Suspicion::LIMIT.into());
+        let told = record
+            .replicas
+            .iter()
+            .take(Suspicion::QUARANTINE_THRESHOLD.into());
         let replicas = told.map(PoisonRecord::name).collect();
         let known = Known {
             suspicion: record.suspicion,
@@ -255,7 +258,7 @@
     }
 
     /// Takes out what others are to be told.
-    pub fn take_untold(&mut self, now: Time) -> Vec<PoisonRecord> {
+    pub fn take_unsent(&mut self, now: Time) -> Vec<PoisonRecord> {
         let untold = std::mem::take(&mut self.untold);
         let records = untold.into_iter().filter_map(|request| {
             let known = self.known.get(&request)?;
@@ -281,7 +284,7 @@
 
     /// Returns the next records to tell one who lacks some: all in turn,
     /// `most` at a time, the weightiest and of these the newest first.
-    pub fn next_part(&mut self, most: usize, now: Time) -> Vec<PoisonRecord> {
+    pub fn next_batch(&mut self, most: usize, now: Time) -> Vec<PoisonRecord> {
         let told = self.known.iter().filter(|(_, known)| known.told);
         let mut told: Vec<(&Fingerprint, &Known)> = told.collect();
         told.sort_unstable_by_key(|(request, known)| {
--- a/src/poison/table_tests.rs
+++ b/src/poison/table_tests.rs
@@ -9,8 +9,8 @@
 use rand::rngs::StdRng;
 
 use super::{
-    Admission, Fingerprint, Identity, PoisonNews, PoisonRecord, PoisonTable,
-    RefusalReason, Suspicion,
+    Admission, Fingerprint, Identity, PoisonMessage, PoisonRecord,
+    PoisonTable, RefusalReason, Suspicion,
 };
 use crate::Time;
 use crate::placing::Message;
@@ -35,7 +35,7 @@
     now: Time,
 ) -> Suspicion {
     match table.admit(request, now) {
-        Admission::Sent(suspicion) => suspicion,
+        Admission::Admitted(suspicion) => suspicion,
         Admission::Refused(refusal) => panic!("{refusal}"),
     }
 }
@@ -49,7 +49,7 @@
 ) {
     for index in 0..count {
         let known = sent(table, request, now);
-        table.ended_under(request, known, &replica(index), now);
+        table.record_end(request, known, &replica(index), now);
     }
 }
 
@@ -67,7 +67,7 @@
     assert_eq!(refusal.reason, RefusalReason::Quarantined);
     assert_eq!(refusal.age, Duration::from_secs(1));
     let hold = PoisonTable::HOLDS[0];
-    assert_eq!(refusal.back, hold - Duration::from_secs(1));
+    assert_eq!(refusal.retry_after, hold - Duration::from_secs(1));
     assert_eq!(refusal.replicas, [replica(0), replica(1), replica(0)]);
     let other = request("other");
     assert_eq!(sent(&mut table, other, at(1_100)), Suspicion::default());
@@ -79,7 +79,7 @@
     let hot = request("hot");
     // It runs on eight replicas of a rack, which loses its power.
     for index in 0..8 {
-        table.ended_under(hot, Suspicion::default(), &replica(index), at(0));
+        table.record_end(hot, Suspicion::default(), &replica(index), at(0));
     }
     let known = sent(&mut table, hot, at(10));
     assert_eq!(known, Suspicion { ended: 1, ..Suspicion::default() });
@@ -91,10 +91,10 @@
     let hot = request("hot");
     end_in_turn(&mut table, hot, 1, at(0));
     let before = sent(&mut table, hot, at(5));
-    assert_eq!(table.answered(hot, at(10)), Some(before));
-    assert_eq!(table.answered(hot, at(11)), None);
+    assert_eq!(table.record_answer(hot, at(10)), Some(before));
+    assert_eq!(table.record_answer(hot, at(11)), None);
     // One that had been sent before, and ends after.
-    let known = table.ended_under(hot, before, &replica(7), at(20));
+    let known = table.record_end(hot, before, &replica(7), at(20));
     assert_eq!((known.cleared, known.ended), (1, 0));
     end_in_turn(&mut table, hot, 2, at(30));
     assert_eq!(table.quarantined(), 0);
@@ -110,11 +110,14 @@
         panic!("two at a time");
     };
     assert_eq!(refusal.reason, RefusalReason::OnTrial);
-    assert_eq!(refusal.back, PoisonTable::TRIAL - Duration::from_millis(100));
-    table.released(bad);
+    assert_eq!(
+        refusal.retry_after,
+        PoisonTable::TRIAL_PERIOD - Duration::from_millis(100)
+    );
+    table.finish_run(bad);
     sent(&mut table, bad, at(200));
     // One whose end nobody tells holds no other up for good.
-    sent(&mut table, bad, at(200).after(PoisonTable::TRIAL));
+    sent(&mut table, bad, at(200).after(PoisonTable::TRIAL_PERIOD));
 }
 
 #[test]
@@ -132,9 +135,9 @@
         // Whoever comes with it meanwhile is refused, here and elsewhere.
         assert!(matches!(table.admit(bad, now), Admission::Refused(_)));
         let mut other = PoisonTable::default();
-        other.merge(table.take_untold(now), now);
+        other.merge(table.take_unsent(now), now);
         assert!(matches!(other.admit(bad, now), Admission::Refused(_)));
-        table.ended_under(bad, known, &replica(9), now);
+        table.record_end(bad, known, &replica(9), now);
     }
     // It comes every hour.
     for _ in 0..100 {
@@ -143,7 +146,7 @@
         let Admission::Refused(refusal) = table.admit(bad, now) else {
             panic!("a fourth trial");
         };
-        assert_eq!(refusal.back, PoisonTable::QUARANTINE_KEPT);
+        assert_eq!(refusal.retry_after, PoisonTable::QUARANTINE_KEPT);
     }
     // It comes no more, and is forgotten.
     now = now.after(PoisonTable::QUARANTINE_KEPT);
@@ -157,12 +160,12 @@
     let mended = request("mended");
     end_in_turn(&mut table, mended, 3, at(0));
     let mut other = PoisonTable::default();
-    other.merge(table.take_untold(at(0)), at(0));
+    other.merge(table.take_unsent(at(0)), at(0));
     assert_eq!(other.quarantined(), 1);
     let now = at(0).after(PoisonTable::HOLDS[0]);
     sent(&mut table, mended, now);
-    table.answered(mended, now);
-    other.merge(table.take_untold(now), now);
+    table.record_answer(mended, now);
+    other.merge(table.take_unsent(now), now);
     assert_eq!(other.quarantined(), 0);
     assert_eq!(sent(&mut other, mended, now).ended, 0);
 }
@@ -174,11 +177,11 @@
         (request("sound"), request("lost"), request("bad"));
     end_in_turn(&mut table, sound, 1, at(0));
     end_in_turn(&mut table, lost, 1, at(0));
-    assert!(table.take_untold(at(0)).is_empty(), "they are sent on");
-    table.answered(sound, at(900));
-    table.given_up(lost);
+    assert!(table.take_unsent(at(0)).is_empty(), "they are sent on");
+    table.record_answer(sound, at(900));
+    table.record_give_up(lost);
     end_in_turn(&mut table, bad, 2, at(900));
-    let told = table.take_untold(at(900));
+    let told = table.take_unsent(at(900));
     let mut told: Vec<Fingerprint> = told.iter().map(|r| r.request).collect();
     told.sort_unstable();
     let mut wanted = vec![lost, bad];
@@ -188,9 +191,9 @@
     let left = request("left");
     end_in_turn(&mut table, left, 1, at(1_000));
     table.sweep(at(2_999));
-    assert!(table.take_untold(at(2_999)).is_empty());
+    assert!(table.take_unsent(at(2_999)).is_empty());
     table.sweep(at(3_000));
-    assert_eq!(table.take_untold(at(3_000))[0].request, left);
+    assert_eq!(table.take_unsent(at(3_000))[0].request, left);
 }
 
 #[test]
@@ -203,7 +206,7 @@
     let mut empty = PoisonTable::default();
     let mut parts = 0;
     while empty.digest() != full.digest() {
-        let part = full.next_part(8, at(500));
+        let part = full.next_batch(8, at(500));
         if parts == 0 {
             assert!(part.iter().all(|r| r.suspicion.is_quarantined()));
         }
@@ -222,7 +225,7 @@
     for index in 0..PoisonTable::MOST + 100 {
         let name = request(&format!("r{index}"));
         let known = Suspicion::default();
-        table.ended_under(name, known, &replica(0), at(1_000));
+        table.record_end(name, known, &replica(0), at(1_000));
     }
     assert!(table.len() <= PoisonTable::MOST);
     assert_eq!(table.quarantined(), 1);
@@ -246,16 +249,16 @@
 fn a_message_of_the_longest_names_fits_into_a_datagram() {
     let mut table = PoisonTable::default();
     let long: Arc<str> = Arc::from("\u{e9}".repeat(400));
-    for index in 0..PoisonNews::MOST_RECORDS {
+    for index in 0..PoisonMessage::MAX_RECORDS {
         let name = request(&format!("r{index}"));
         for _ in 0..3 {
             let known = sent(&mut table, name, at(0));
-            table.ended_under(name, known, &long, at(0));
+            table.record_end(name, known, &long, at(0));
         }
     }
-    let records = table.next_part(PoisonNews::MOST_RECORDS, at(0));
-    assert_eq!(records.len(), PoisonNews::MOST_RECORDS);
-    let news = PoisonNews::Differs { digest: u64::MAX, records };
+    let records = table.next_batch(PoisonMessage::MAX_RECORDS, at(0));
+    assert_eq!(records.len(), PoisonMessage::MAX_RECORDS);
+    let news = PoisonMessage::Differs { digest: u64::MAX, records };
     let json = serde_json::to_vec(&Message::Poison(news)).unwrap();
     assert!(json.len() <= 4_096, "{} bytes", json.len());
 }
@@ -279,9 +282,9 @@
                 if run.1 > now || draw.random_ratio(1, 8) {
                     continue;
                 }
-                table.answered(hot, at(now));
+                table.record_answer(hot, at(now));
                 match table.admit(hot, at(now)) {
-                    Admission::Sent(known) => *run = (known, now + 800),
+                    Admission::Admitted(known) => *run = (known, now + 800),
                     Admission::Refused(refusal) => {
                         let reason = RefusalReason::OnTrial;
                         let why = format!("seed {seed}, {index}: {refusal}");
@@ -295,7 +298,7 @@
             let first = draw.random_range(0..REPLICAS / RACK) * RACK;
             for (index, run) in runs.iter_mut().enumerate() {
                 if (first..first + RACK).contains(&index) && run.1 > now {
-                    table.ended_under(hot, run.0, &replica(index), at(now));
+                    table.record_end(hot, run.0, &replica(index), at(now));
                     run.1 = now;
                 }
             }
@@ -339,7 +342,7 @@
             two.merge(twice, now);
         }
         prop_assert_eq!(one.digest(), two.digest());
-        let told = one.next_part(100, now);
+        let told = one.next_batch(100, now);
         two.merge(told, now);
         prop_assert_eq!(one.digest(), two.digest());
         prop_assert_eq!(one.quarantined(), two.quarantined());
