--- a/crates/gateway/src/poison.rs
+++ b/crates/gateway/src/poison.rs
@@ -124,7 +124,7 @@
         let incarnation = &replica.incarnation;
         let suspicion = {
             let mut table = self.lock();
-            let known = table.record_end(request, sent, incarnation, now);
+            let known = table.record_crash(request, sent, incarnation, now);
             self.known.store(table.len(), Ordering::Relaxed);
             known
         };
--- a/crates/model/src/quarantine.rs
+++ b/crates/model/src/quarantine.rs
@@ -167,7 +167,7 @@
                 _ => run.sent,
             };
             let replica = Arc::from("i");
-            table.record_end(request(), sent, &replica, NOW);
+            table.record_crash(request(), sent, &replica, NOW);
             self.learn(&mut to, run.entry, table.suspicion(request()));
         }
         next.push(("its replicas end".to_string(), to));
--- a/crates/shell/src/node/poison.rs
+++ b/crates/shell/src/node/poison.rs
@@ -43,7 +43,7 @@
     pub fn ended_under(&self, request: Fingerprint, sent: Suspicion) {
         let now = self.now();
         let name = Arc::clone(&self.identity().name);
-        let known = self.poison().record_end(request, sent, &name, now);
+        let known = self.poison().record_crash(request, sent, &name, now);
         self.poison().record_give_up(request);
         let fields = [
             ("fingerprint", request.to_string()),
--- a/src/poison.rs
+++ b/src/poison.rs
@@ -1,21 +1,24 @@
-//! Requests that end each replica on which they run.
+//! Quarantine for requests that crash the replicas on which they run.
 //!
-//! A caller that gets no answer sends its request again, under another id and
-//! to any entry. Where the request itself ends the replica, each try costs a
-//! replica and all that runs there. So a request is known over all its tries
-//! by what it asks, its [`Fingerprint`], and entries tell one another what
-//! became of it ([`PoisonMessage`]).
+//! A client that gets no answer repeats its request, with another id and
+//! possibly through another entry. If the request itself causes the crash,
+//! each repetition costs a replica and everything that runs there; the request
+//! is *poisoned*. Therefore a request is identified across repetitions by its
+//! content, the [`Fingerprint`], and entries inform one another of its
+//! outcomes ([`PoisonMessage`]).
 //!
-//! A [`PoisonTable`] counts the replicas that ended under a request *one
-//! after the other*: a run counts one more than was known when it was sent.
-//! Replicas that end together, as when a rack fails under a request that runs
-//! on all of it, count once, and the next run elsewhere clears the request
-//! with its whole answer. From the third on the request is quarantined: it is
-//! refused at once, and tried again after a while, three times at most.
+//! A [`PoisonTable`] counts the replicas that crashed under a request *in
+//! succession*: a run that crashes a replica sets the count to one more than
+//! was known when the run was started. Replicas that crash together, such as
+//! when a rack fails while a request runs on all its replicas, therefore count
+//! once, and the first complete answer to the request resets the count. At
+//! [`Suspicion::QUARANTINE_THRESHOLD`] crashes the request is quarantined: it
+//! is refused immediately and retried only after a delay, at most three times.
 //!
-//! Nothing is agreed upon. [`PoisonRecord`]s of one request are ordered, and
-//! the greater one counts, in whatever order and however often they come; what
-//! an entry does not know yet makes it count less and never more.
+//! There is no consensus protocol. The [`PoisonRecord`]s of a request are
+//! totally ordered and the greatest one is kept, so records may arrive in any
+//! order and any number of times. An entry that has not received a record yet
+//! can only underestimate the count.
 
 mod admission;
 mod fingerprint;
--- a/src/poison/admission.rs
+++ b/src/poison/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a request may be sent, and why not.
+//! The decision whether a request may be sent.
 
 use std::fmt;
 use std::sync::Arc;
@@ -6,34 +6,35 @@
 
 use super::Suspicion;
 
-/// Whether a request may be sent to a replica.
+/// The decision whether a request may be sent to a replica.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Admission {
-    /// It may, and this was known of it then.
+    /// It may be sent. The suspicion is that at the time of the decision.
     Admitted(Suspicion),
-    /// It may not.
+    /// It may not be sent.
     Refused(Refusal),
 }
 
 /// Why a request may not be sent.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Refusal {
-    /// What keeps it back.
+    /// The reason.
     pub reason: RefusalReason,
-    /// The replicas that ended under it.
+    /// The replicas that crashed under it.
     pub replicas: Vec<Arc<str>>,
-    /// How long ago that became known here.
+    /// How long ago its suspicion last changed.
     pub age: Duration,
-    /// When it may be sent again.
+    /// The time after which it may be sent again.
     pub retry_after: Duration,
 }
 
-/// What keeps a request back.
+/// The reason why a request may not be sent.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RefusalReason {
-    /// Replicas ended under it up to the limit.
+    /// It crashed [`Suspicion::QUARANTINE_THRESHOLD`] replicas.
     Quarantined,
-    /// It is one short of that, and runs just now.
+    /// Another crash would quarantine it or keep it quarantined, and another
+    /// run of it is in progress.
     OnTrial,
 }
 
--- a/src/poison/fingerprint.rs
+++ b/src/poison/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What a request asks, as a name that all entries work out alike.
+//! Fingerprints of requests, which all entries compute alike.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,46 +7,47 @@
 
 use crate::{Code, Error};
 
-/// What makes two tries the same request.
+/// The properties that identify a request across repetitions.
 #[derive(Clone, Copy, Debug)]
 pub struct Identity<'a> {
-    /// The host that it is for.
+    /// The host to which it is addressed.
     pub host: &'a str,
-    /// The path, with its query.
+    /// The path, including the query.
     pub path: &'a str,
-    /// Whose it is.
+    /// The client that sends it.
     pub caller: &'a str,
-    /// Its body.
+    /// The body.
     pub body: &'a [u8],
 }
 
-/// Names what a request asks: one name for all its tries.
+/// A hash of a request's [`Identity`], which is the same for all repetitions.
 ///
 /// # Examples
 ///
 /// ```
 /// use stairhinge::poison::{Fingerprint, Identity};
 ///
-/// let asked = Identity { host: "a", path: "/x", caller: "desk", body: b"" };
-/// let other = Identity { caller: "yard", ..asked };
-/// assert_eq!(Fingerprint::of(&asked), Fingerprint::of(&asked));
-/// assert_ne!(Fingerprint::of(&asked), Fingerprint::of(&other));
+/// let request =
+///     Identity { host: "a", path: "/x", caller: "alice", body: b"" };
+/// let other = Identity { caller: "bob", ..request };
+/// assert_eq!(Fingerprint::of(&request), Fingerprint::of(&request));
+/// assert_ne!(Fingerprint::of(&request), Fingerprint::of(&other));
 /// ```
 #[derive(Clone, Copy, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Fingerprint(u128);
 
 impl Fingerprint {
-    /// Returns the name of what is asked.
-    pub fn of(asked: &Identity<'_>) -> Fingerprint {
+    /// Returns the fingerprint of a request.
+    pub fn of(request: &Identity<'_>) -> Fingerprint {
         let mut hasher = blake3::Hasher::new();
-        for text in [asked.host, asked.path, asked.caller] {
+        for text in [request.host, request.path, request.caller] {
             hasher.update(&(text.len() as u64).to_le_bytes());
             hasher.update(text.as_bytes());
         }
-        hasher.update(asked.body);
-        let mut name = [0; 16];
-        hasher.finalize_xof().fill(&mut name);
-        Fingerprint(u128::from_be_bytes(name))
+        hasher.update(request.body);
+        let mut hash = [0; 16];
+        hasher.finalize_xof().fill(&mut hash);
+        Fingerprint(u128::from_be_bytes(hash))
     }
 }
 
@@ -66,9 +67,9 @@
     type Err = Error;
 
     fn from_str(s: &str) -> Result<Fingerprint, Error> {
-        let digits = s.len() == 32 && s.bytes().all(|b| b.is_ascii_hexdigit());
-        let name = u128::from_str_radix(s, 16).ok().filter(|_| digits);
-        name.map(Fingerprint).ok_or_else(|| {
+        let is_hex = s.len() == 32 && s.bytes().all(|b| b.is_ascii_hexdigit());
+        let hash = u128::from_str_radix(s, 16).ok().filter(|_| is_hex);
+        hash.map(Fingerprint).ok_or_else(|| {
             let why = format!("{s:?}, allowed: 32 hex digits");
             Error::new(Code::MalformedJson, why)
         })
--- a/src/poison/message.rs
+++ b/src/poison/message.rs
@@ -1,30 +1,32 @@
-//! What entries tell one another of poisoned requests.
+//! Messages between entries about poisoned requests.
 
 use serde::{Deserialize, Serialize};
 
 use super::PoisonRecord;
 
-/// One message; each fits into a datagram.
+/// A message, which fits into one datagram.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PoisonMessage {
-    /// What has just changed. Nothing is answered.
+    /// Records that have just changed. There is no answer.
     Changed(Vec<PoisonRecord>),
-    /// Asks for what the sender may lack, whose table has this digest.
+    /// The digest of the sender's table; asks for records that the sender does
+    /// not have.
     Digest(u64),
-    /// Answers a digest that differs: the digest of the sender's table, and
-    /// records of it. What the receiver has beside them it sends back as
+    /// The answer to a digest that differs from that of the sender's table.
+    /// The receiver answers with records of its own as
     /// [`PoisonMessage::Changed`].
     Differs {
-        /// Of the whole table.
+        /// The digest of the sender's whole table.
         digest: u64,
-        /// Part of it.
+        /// Some of the records in that table.
         records: Vec<PoisonRecord>,
     },
 }
 
 impl PoisonMessage {
-    /// The most records in one message: with the longest names of three
-    /// replicas each takes 350 bytes of JSON, and a datagram 4,096 at most.
+    /// The maximum number of records in one message. A record with three
+    /// replica names of the maximum length takes 350 bytes of JSON, and a
+    /// datagram holds at most 4,096 bytes.
     pub const MAX_RECORDS: usize = 8;
 }
--- a/src/poison/record.rs
+++ b/src/poison/record.rs
@@ -1,4 +1,4 @@
-//! What is known of one request.
+//! Records of requests that have crashed replicas.
 
 use std::fmt;
 use std::str::FromStr;
@@ -10,9 +10,9 @@
 use super::Fingerprint;
 use crate::Error;
 
-/// How far a request is suspected.
+/// The degree of suspicion that a request crashes replicas.
 ///
-/// Suspicions of one request are ordered: the greater one is newer.
+/// Values for the same request are ordered, and the greater one is newer.
 #[derive(
     Clone,
     Copy,
@@ -27,30 +27,32 @@
     Serialize,
 )]
 pub struct Suspicion {
-    /// How often a whole answer has cleared it.
+    /// How often a complete answer has cleared the request.
     pub cleared: u32,
-    /// Replicas that have ended under it since, one after the other.
+    /// The number of replicas that have crashed in succession since the last
+    /// clearing.
     pub ended: u8,
-    /// How often it was tried again while it was quarantined.
+    /// The number of trial runs since it was quarantined.
     pub trials: u8,
 }
 
 impl Suspicion {
-    /// So many replicas have to end under a request, one after the other,
-    /// until it is quarantined. With two, a request that ran beside a poisoned
-    /// one and was sent to the same second replica would be.
+    /// The number of replicas that a request must crash in succession to be
+    /// quarantined. With 2, a harmless request would be quarantined if it ran
+    /// alongside a poisoned one and was retried on the same second replica.
     pub const QUARANTINE_THRESHOLD: u8 = 3;
 
-    /// The most trials of a quarantined request.
-    pub const MOST_TRIALS: u8 = 3;
+    /// The maximum number of trial runs of a quarantined request.
+    pub const MAX_TRIALS: u8 = 3;
 
-    /// Returns whether the request is kept from replicas.
+    /// Returns whether the request is quarantined.
     pub const fn is_quarantined(self) -> bool {
         self.ended >= Suspicion::QUARANTINE_THRESHOLD
     }
 
-    /// Returns whether one more replica that ends makes it quarantined, or
-    /// keeps it so: its runs are kept apart from one another.
+    /// Returns whether another crash would quarantine the request or keep it
+    /// quarantined. Only one run of such a request may be in progress at a
+    /// time.
     pub const fn requires_exclusive_run(self) -> bool {
         self.ended + 1 >= Suspicion::QUARANTINE_THRESHOLD
     }
@@ -58,7 +60,7 @@
     /// Returns whether the counts are within their ranges.
     pub(super) const fn is_valid(self) -> bool {
         self.ended <= Suspicion::QUARANTINE_THRESHOLD
-            && self.trials <= Suspicion::MOST_TRIALS
+            && self.trials <= Suspicion::MAX_TRIALS
     }
 }
 
@@ -71,52 +73,54 @@
 impl FromStr for Suspicion {
     type Err = Error;
 
-    /// Reads what [`Suspicion`]'s `Display` writes.
+    /// Parses the format that is written by `Display`.
     fn from_str(s: &str) -> Result<Suspicion, Error> {
-        let wrong = || Error::range("suspicion", s, "three numbers with dots");
+        let invalid =
+            || Error::range("suspicion", s, "three numbers separated by dots");
         let mut parts = s.splitn(3, '.');
-        let mut next = || parts.next().ok_or_else(wrong);
-        let read = Suspicion {
-            cleared: next()?.parse().map_err(|_| wrong())?,
-            ended: next()?.parse().map_err(|_| wrong())?,
-            trials: next()?.parse().map_err(|_| wrong())?,
+        let mut next = || parts.next().ok_or_else(invalid);
+        let suspicion = Suspicion {
+            cleared: next()?.parse().map_err(|_| invalid())?,
+            ended: next()?.parse().map_err(|_| invalid())?,
+            trials: next()?.parse().map_err(|_| invalid())?,
         };
-        if !read.is_valid() {
-            return Err(wrong());
+        if !suspicion.is_valid() {
+            return Err(invalid());
         }
-        Ok(read)
+        Ok(suspicion)
     }
 }
 
-/// What one entry tells others of a request.
+/// What one entry reports to others about a request.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct PoisonRecord {
-    /// The request.
+    /// The fingerprint of the request.
     pub request: Fingerprint,
-    /// How far it is suspected.
+    /// The degree of suspicion against it.
     pub suspicion: Suspicion,
-    /// How long ago that changed, in milliseconds.
+    /// How long ago the suspicion changed, in milliseconds.
     pub age_ms: u64,
-    /// The replicas that ended under it, as far as told.
+    /// The names of the replicas that crashed under it, as far as known.
     pub replicas: Vec<Arc<str>>,
 }
 
 impl PoisonRecord {
-    /// The most bytes of a replica's name that are told: with
-    /// [`PoisonMessage::MAX_RECORDS`](super::PoisonMessage::MAX_RECORDS) records
-    /// of three names each a message stays within a datagram.
-    const MOST_NAME: usize = 64;
-
-    /// Returns a replica's name as it is told.
-    pub(super) fn name(replica: &Arc<str>) -> Arc<str> {
-        if replica.len() <= PoisonRecord::MOST_NAME {
+    /// The maximum length of a replica's name in a record, in bytes; longer
+    /// names are truncated. It ensures that a message of
+    /// [`MAX_RECORDS`](super::PoisonMessage::MAX_RECORDS) records with three
+    /// names each fits into a datagram.
+    const MAX_NAME_BYTES: usize = 64;
+
+    /// Returns a replica's name, truncated for use in a record.
+    pub(super) fn truncated_name(replica: &Arc<str>) -> Arc<str> {
+        if replica.len() <= PoisonRecord::MAX_NAME_BYTES {
             return Arc::clone(replica);
         }
-        let end = replica.floor_char_boundary(PoisonRecord::MOST_NAME);
+        let end = replica.floor_char_boundary(PoisonRecord::MAX_NAME_BYTES);
         Arc::from(&replica[..end])
     }
 
-    /// Returns how long ago it changed.
+    /// Returns how long ago the suspicion changed.
     pub(super) const fn age(&self) -> Duration {
         Duration::from_millis(self.age_ms)
     }
--- a/src/poison/request_state.rs
+++ b/src/poison/request_state.rs
@@ -1,4 +1,4 @@
-//! What one entry knows of one request.
+//! The state of one request in a [`PoisonTable`].
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,77 +6,85 @@
 use super::{Admission, PoisonTable, Refusal, RefusalReason, Suspicion};
 use crate::Time;
 
-/// What is known of one request.
+/// The state of one request.
 #[derive(Clone, Debug)]
-pub(super) struct Known {
+pub(super) struct RequestState {
     pub suspicion: Suspicion,
+    /// The names of the replicas that crashed under the request.
     pub replicas: Vec<Arc<str>>,
-    /// When it last changed here, and how old it was then.
-    pub changed: Time,
-    pub before: Duration,
-    /// When it last came here, if it did.
-    pub seen: Option<Time>,
-    /// Whether others are told of it.
-    pub told: bool,
-    /// Until when no other run of it may begin.
-    pub alone_until: Option<Time>,
+    /// When the suspicion last changed in this table.
+    pub changed_at: Time,
+    /// The age of the suspicion at `changed_at`; not zero if it was reported
+    /// by another entry.
+    pub age_at_change: Duration,
+    /// When the request last arrived at this entry, if it did.
+    pub last_seen: Option<Time>,
+    /// Whether the record is shared with other entries.
+    pub shared: bool,
+    /// The time before which no other run of the request may begin.
+    pub exclusive_until: Option<Time>,
 }
 
-impl Known {
-    pub fn new(now: Time) -> Known {
-        Known {
+impl RequestState {
+    pub fn new(now: Time) -> RequestState {
+        RequestState {
             suspicion: Suspicion::default(),
             replicas: Vec::new(),
-            changed: now,
-            before: Duration::ZERO,
-            seen: None,
-            told: false,
-            alone_until: None,
+            changed_at: now,
+            age_at_change: Duration::ZERO,
+            last_seen: None,
+            shared: false,
+            exclusive_until: None,
         }
     }
 
+    /// Returns the age of the suspicion.
     pub fn age(&self, now: Time) -> Duration {
-        self.before.saturating_add(now.since(self.changed))
+        self.age_at_change.saturating_add(now.since(self.changed_at))
     }
 
-    pub fn change(&mut self, now: Time) {
-        self.changed = now;
-        self.before = Duration::ZERO;
+    /// Records that the suspicion has changed.
+    pub fn mark_changed(&mut self, now: Time) {
+        self.changed_at = now;
+        self.age_at_change = Duration::ZERO;
     }
 
-    /// Returns how long it is kept from now on.
-    pub fn kept(&self, now: Time) -> Duration {
-        let (span, age) = if self.suspicion.is_quarantined() {
-            let seen = self.seen.map_or(Duration::MAX, |at| now.since(at));
-            (PoisonTable::QUARANTINE_KEPT, seen.min(self.age(now)))
+    /// Returns how much longer the state is retained.
+    pub fn retention_left(&self, now: Time) -> Duration {
+        let (retention, age) = if self.suspicion.is_quarantined() {
+            let unseen =
+                self.last_seen.map_or(Duration::MAX, |at| now.since(at));
+            (PoisonTable::QUARANTINE_RETENTION, unseen.min(self.age(now)))
         } else if self.suspicion.ended > 0 {
-            (PoisonTable::SUSPECT_KEPT, self.age(now))
+            (PoisonTable::SUSPECT_RETENTION, self.age(now))
         } else {
-            (PoisonTable::CLEARED_KEPT, self.age(now))
+            (PoisonTable::CLEARED_RETENTION, self.age(now))
         };
-        span.saturating_sub(age)
+        retention.saturating_sub(age)
     }
 
-    /// Returns when it may be tried again; zero if now.
-    pub fn back(&self, now: Time) -> Duration {
+    /// Returns the time until the next trial run of a quarantined request;
+    /// zero if one may begin now.
+    pub fn trial_delay_left(&self, now: Time) -> Duration {
         let trials = usize::from(self.suspicion.trials);
-        match PoisonTable::HOLDS.get(trials) {
-            Some(hold) => hold.saturating_sub(self.age(now)),
-            None => self.kept(now),
+        match PoisonTable::TRIAL_DELAYS.get(trials) {
+            Some(delay) => delay.saturating_sub(self.age(now)),
+            None => self.retention_left(now),
         }
     }
 
+    /// Returns the refusal of the request.
     pub fn refusal(
         &self,
         reason: RefusalReason,
-        back: Duration,
+        retry_after: Duration,
         now: Time,
     ) -> Admission {
         Admission::Refused(Refusal {
             reason,
             replicas: self.replicas.clone(),
             age: self.age(now),
-            retry_after: back,
+            retry_after,
         })
     }
 }
--- a/src/poison/table.rs
+++ b/src/poison/table.rs
@@ -1,130 +1,136 @@
-//! What one entry knows of poisoned requests.
+//! The table of requests that have crashed replicas.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::request_state::Known;
+use super::request_state::RequestState;
 use super::{Admission, Fingerprint, PoisonRecord, RefusalReason, Suspicion};
 use crate::{Digest, Time};
 
-/// The requests under which replicas have ended.
+/// The requests under which replicas have crashed, as known to one entry.
 #[derive(Clone, Debug, Default)]
 pub struct PoisonTable {
-    known: HashMap<Fingerprint, Known>,
-    /// Those whose change others are to be told.
-    untold: BTreeSet<Fingerprint>,
-    /// Where the next part begins of what is told to one who lacks it.
+    requests: HashMap<Fingerprint, RequestState>,
+    /// The requests whose changes have yet to be sent to other entries.
+    unsent: BTreeSet<Fingerprint>,
+    /// The start of the next batch that [`PoisonTable::next_batch`] returns.
     cursor: usize,
 }
 
 impl PoisonTable {
-    /// How long a quarantined request waits for each of its trials. A request
-    /// that ends replicas for a fault of their software does so until that is
-    /// changed, which takes longer the longer it has taken; the three trials
-    /// fall within a working day.
-    pub const HOLDS: [Duration; 3] = [
+    /// How long a quarantined request waits before each of its trial runs. If
+    /// a software fault makes the request crash replicas, it does so until the
+    /// fault is fixed, and the longer that has taken, the longer it is likely
+    /// to take. The three trial runs fall within a working day.
+    pub const TRIAL_DELAYS: [Duration; 3] = [
         Duration::from_secs(10 * 60),
         Duration::from_secs(60 * 60),
         Duration::from_secs(6 * 60 * 60),
     ];
 
-    /// How long no other run of a request begins that is on trial: over twice
-    /// the longest span seen between such a request's arrival at a replica
-    /// under load and the end of that, 0.55 s.
+    /// How long a run excludes other runs of the same request if another crash
+    /// would quarantine the request or keep it quarantined. It is more than
+    /// twice the maximum time of 0.55 s from the arrival of a poisoned request
+    /// at a loaded replica to the crash.
     pub const TRIAL_PERIOD: Duration = Duration::from_millis(1_500);
 
-    /// How long a request is remembered under which fewer replicas ended than
-    /// the limit. One that comes less often is one more end a day.
-    pub const SUSPECT_KEPT: Duration = Duration::from_secs(24 * 60 * 60);
+    /// How long a request is remembered that has crashed replicas but is not
+    /// quarantined. A request that recurs less often than that crashes at most
+    /// one replica per day.
+    pub const SUSPECT_RETENTION: Duration = Duration::from_secs(24 * 60 * 60);
 
-    /// How long a quarantined request is remembered that comes no more.
-    pub const QUARANTINE_KEPT: Duration = Duration::from_secs(24 * 60 * 60);
+    /// How long a quarantined request is remembered after it last arrived.
+    pub const QUARANTINE_RETENTION: Duration =
+        Duration::from_secs(24 * 60 * 60);
 
-    /// How long it is remembered that a request was cleared, so that older
-    /// news of it count no more.
-    pub const CLEARED_KEPT: Duration = Duration::from_secs(60);
+    /// How long a cleared request is remembered, so that delayed records from
+    /// before it was cleared are ignored.
+    pub const CLEARED_RETENTION: Duration = Duration::from_secs(60);
 
-    /// The most requests remembered: 3 MB.
-    pub const MOST: usize = 16_384;
+    /// The maximum number of requests remembered, which take up to 3 MB.
+    pub const MAX_REQUESTS: usize = 16_384;
 
-    /// How long one end is kept from others while the request is sent on. In
-    /// a second or two a sound request is answered, and needs no word.
-    const TOLD_AFTER: Duration = Duration::from_secs(2);
+    /// How long the first crash under a request is withheld from other entries
+    /// while the request is retried. A harmless request gets an answer within
+    /// 1 to 2 s, which makes the message unnecessary.
+    const SHARE_DELAY: Duration = Duration::from_secs(2);
 
-    /// Returns how many requests are known.
+    /// Returns the number of requests in the table.
     pub fn len(&self) -> usize {
-        self.known.len()
+        self.requests.len()
     }
 
-    /// Returns whether no request is known.
+    /// Returns whether the table is empty.
     pub fn is_empty(&self) -> bool {
-        self.known.is_empty()
+        self.requests.is_empty()
     }
 
-    /// Returns how many requests are quarantined.
+    /// Returns the number of quarantined requests.
     pub fn quarantined(&self) -> usize {
-        let known = self.known.values();
-        known.filter(|k| k.suspicion.is_quarantined()).count()
+        let states = self.requests.values();
+        states.filter(|s| s.suspicion.is_quarantined()).count()
     }
 
-    /// Returns how far a request is suspected.
+    /// Returns the suspicion against a request.
     pub fn suspicion(&self, request: Fingerprint) -> Suspicion {
-        let known = self.known.get(&request);
-        known.map_or(Suspicion::default(), |known| known.suspicion)
+        let state = self.requests.get(&request);
+        state.map_or(Suspicion::default(), |state| state.suspicion)
     }
 
-    /// Says whether a request may be sent to a replica now.
+    /// Decides whether a request may be sent to a replica at `now`. If so, a
+    /// run of it has begun.
     pub fn admit(&mut self, request: Fingerprint, now: Time) -> Admission {
-        let Some(known) = self.known.get_mut(&request) else {
+        let Some(state) = self.requests.get_mut(&request) else {
             return Admission::Admitted(Suspicion::default());
         };
-        known.seen = Some(now);
-        if let Some(until) = known.alone_until.filter(|until| now < *until) {
-            let back = until.since(now);
-            return known.refusal(RefusalReason::OnTrial, back, now);
+        state.last_seen = Some(now);
+        if let Some(until) = state.exclusive_until.filter(|until| now < *until)
+        {
+            let retry_after = until.since(now);
+            return state.refusal(RefusalReason::OnTrial, retry_after, now);
         }
-        if known.suspicion.is_quarantined() {
-            let back = known.back(now);
-            if !back.is_zero() {
+        if state.suspicion.is_quarantined() {
+            let retry_after = state.trial_delay_left(now);
+            if !retry_after.is_zero() {
                 let reason = RefusalReason::Quarantined;
-                return known.refusal(reason, back, now);
+                return state.refusal(reason, retry_after, now);
             }
-            // Others hold it back from now on while this trial runs.
-            known.suspicion.trials += 1;
-            known.change(now);
-            self.untold.insert(request);
+            // Other entries refuse the request while this trial runs.
+            state.suspicion.trials += 1;
+            state.mark_changed(now);
+            self.unsent.insert(request);
         }
-        if known.suspicion.requires_exclusive_run() {
-            known.alone_until = Some(now.after(PoisonTable::TRIAL_PERIOD));
+        if state.suspicion.requires_exclusive_run() {
+            state.exclusive_until = Some(now.after(PoisonTable::TRIAL_PERIOD));
         }
-        Admission::Admitted(known.suspicion)
+        Admission::Admitted(state.suspicion)
     }
 
-    /// Says whether a request that was to be sent may still be, after what
-    /// has become known meanwhile.
+    /// Decides whether a request that was admitted with the suspicion
+    /// `sent` may still be sent, given what has become known since.
     pub fn recheck(
         &self,
         request: Fingerprint,
         sent: Suspicion,
         now: Time,
     ) -> Admission {
-        let known = self.known.get(&request);
-        let newer = known
-            .filter(|k| k.suspicion > sent && k.suspicion.is_quarantined());
+        let state = self.requests.get(&request);
+        let newer = state
+            .filter(|s| s.suspicion > sent && s.suspicion.is_quarantined());
         match newer {
-            Some(known) => {
-                let back = known.back(now);
-                known.refusal(RefusalReason::Quarantined, back, now)
+            Some(state) => {
+                let retry_after = state.trial_delay_left(now);
+                state.refusal(RefusalReason::Quarantined, retry_after, now)
             }
             None => Admission::Admitted(sent),
         }
     }
 
-    /// Takes note that a replica ended under a request of which `sent` was
-    /// known when it was sent there, and returns what is known now.
-    pub fn record_end(
+    /// Records that a replica crashed under a request that was sent to it with
+    /// the suspicion `sent`. Returns the current suspicion.
+    pub fn record_crash(
         &mut self,
         request: Fingerprint,
         sent: Suspicion,
@@ -132,9 +138,9 @@
         now: Time,
     ) -> Suspicion {
         self.make_room(now);
-        let entry = self.known.entry(request);
-        let known = entry.or_insert_with(|| Known::new(now));
-        let current = known.suspicion;
+        let entry = self.requests.entry(request);
+        let state = entry.or_insert_with(|| RequestState::new(now));
+        let current = state.suspicion;
         if current.cleared > sent.cleared {
             return current;
         }
@@ -144,130 +150,132 @@
             return current;
         }
         if next > current {
-            known.replicas.push(PoisonRecord::name(replica));
-            known.alone_until = None;
+            state.replicas.push(PoisonRecord::truncated_name(replica));
+            state.exclusive_until = None;
         }
-        known.suspicion = next;
-        known.change(now);
+        state.suspicion = next;
+        state.mark_changed(now);
         if ended > 1 {
-            self.tell(request);
+            self.share(request);
         }
         next
     }
 
-    /// Takes note of a whole answer: a request that has one is sound. Returns
-    /// what was known, if anything spoke against it.
+    /// Records a complete answer to a request, which clears it. Returns the
+    /// previous suspicion if a replica had crashed under the request.
     pub fn record_answer(
         &mut self,
         request: Fingerprint,
         now: Time,
     ) -> Option<Suspicion> {
-        let known = self.known.get_mut(&request)?;
-        let before = known.suspicion;
-        if before.ended == 0 {
+        let state = self.requests.get_mut(&request)?;
+        let previous = state.suspicion;
+        if previous.ended == 0 {
             return None;
         }
-        let cleared = before.cleared.saturating_add(1);
-        known.suspicion = Suspicion { cleared, ..Suspicion::default() };
-        known.replicas.clear();
-        known.alone_until = None;
-        known.change(now);
-        if known.told {
-            self.untold.insert(request);
+        let cleared = previous.cleared.saturating_add(1);
+        state.suspicion = Suspicion { cleared, ..Suspicion::default() };
+        state.replicas.clear();
+        state.exclusive_until = None;
+        state.mark_changed(now);
+        if state.shared {
+            self.unsent.insert(request);
         }
-        Some(before)
+        Some(previous)
     }
 
-    /// Takes note that a run of a request is over, so that another may begin.
+    /// Records that a run of a request has finished, so that another one may
+    /// begin.
     pub fn finish_run(&mut self, request: Fingerprint) {
-        if let Some(known) = self.known.get_mut(&request) {
-            known.alone_until = None;
+        if let Some(state) = self.requests.get_mut(&request) {
+            state.exclusive_until = None;
         }
     }
 
-    /// Takes note that a request is sent on no more, so that its caller may
-    /// come with it to any entry: what is known of it is told.
+    /// Records that a request is not retried any more. Its client may repeat
+    /// it through any entry, so the suspicion is shared.
     pub fn record_give_up(&mut self, request: Fingerprint) {
-        let known = self.known.get(&request);
-        if known.is_some_and(|k| k.suspicion.ended > 0 && !k.told) {
-            self.tell(request);
+        let state = self.requests.get(&request);
+        if state.is_some_and(|s| s.suspicion.ended > 0 && !s.shared) {
+            self.share(request);
         }
     }
 
-    /// Takes in what another entry tells, and returns what was new.
+    /// Merges records from another entry. Returns the requests whose state has
+    /// changed.
     pub fn merge(
         &mut self,
         records: Vec<PoisonRecord>,
         now: Time,
     ) -> Vec<Fingerprint> {
-        let mut news = Vec::new();
+        let mut changed = Vec::new();
         for record in records {
             let request = record.request;
             if self.merge_one(record, now) {
-                news.push(request);
+                changed.push(request);
             }
         }
-        news
+        changed
     }
 
     fn merge_one(&mut self, record: PoisonRecord, now: Time) -> bool {
         if !record.suspicion.is_valid() {
             return false;
         }
-        if let Some(known) = self.known.get_mut(&record.request) {
-            known.told |= known.suspicion == record.suspicion;
-            if known.suspicion >= record.suspicion {
+        if let Some(state) = self.requests.get_mut(&record.request) {
+            state.shared |= state.suspicion == record.suspicion;
+            if state.suspicion >= record.suspicion {
                 return false;
             }
         }
         if record.suspicion == Suspicion::default() {
             return false;
         }
-        let before = record.age();
-        let told = record
+        let age_at_change = record.age();
+        let reported = record
             .replicas
             .iter()
             .take(Suspicion::QUARANTINE_THRESHOLD.into());
-        let replicas = told.map(PoisonRecord::name).collect();
-        let known = Known {
+        let replicas = reported.map(PoisonRecord::truncated_name).collect();
+        let state = RequestState {
             suspicion: record.suspicion,
             replicas,
-            before,
-            told: true,
-            ..Known::new(now)
+            age_at_change,
+            shared: true,
+            ..RequestState::new(now)
         };
-        if known.kept(now).is_zero() {
+        if state.retention_left(now).is_zero() {
             return false;
         }
         self.make_room(now);
-        self.known.insert(record.request, known);
+        self.requests.insert(record.request, state);
         true
     }
 
-    /// Drops what is over, and has others told of what was kept from them for
-    /// long enough.
+    /// Removes requests whose retention has expired, and shares suspicions
+    /// that were withheld until now.
     pub fn sweep(&mut self, now: Time) {
-        self.known.retain(|_, known| !known.kept(now).is_zero());
-        for (request, known) in &mut self.known {
-            let due = known.age(now) >= PoisonTable::TOLD_AFTER;
-            if due && !known.told && known.suspicion.ended > 0 {
-                known.told = true;
-                self.untold.insert(*request);
+        self.requests.retain(|_, state| !state.retention_left(now).is_zero());
+        for (request, state) in &mut self.requests {
+            let due = state.age(now) >= PoisonTable::SHARE_DELAY;
+            if due && !state.shared && state.suspicion.ended > 0 {
+                state.shared = true;
+                self.unsent.insert(*request);
             }
         }
     }
 
-    /// Takes out what others are to be told.
+    /// Removes and returns the changes to send to other entries.
     pub fn take_unsent(&mut self, now: Time) -> Vec<PoisonRecord> {
-        let untold = std::mem::take(&mut self.untold);
-        let records = untold.into_iter().filter_map(|request| {
-            let known = self.known.get(&request)?;
-            Some(record(request, known, now))
+        let unsent = std::mem::take(&mut self.unsent);
+        let records = unsent.into_iter().filter_map(|request| {
+            let state = self.requests.get(&request)?;
+            Some(record(request, state, now))
         });
         records.collect()
     }
 
-    /// Returns the records of some requests.
+    /// Returns the records of those of the given requests that are known.
     pub fn records(
         &self,
         requests: &[Fingerprint],
@@ -275,80 +283,86 @@
     ) -> Vec<PoisonRecord> {
         let mut records = Vec::new();
         for request in requests {
-            if let Some(known) = self.known.get(request) {
-                records.push(record(*request, known, now));
+            if let Some(state) = self.requests.get(request) {
+                records.push(record(*request, state, now));
             }
         }
         records
     }
 
-    /// Returns the next records to tell one who lacks some: all in turn,
-    /// `most` at a time, the weightiest and of these the newest first.
-    pub fn next_batch(&mut self, most: usize, now: Time) -> Vec<PoisonRecord> {
-        let told = self.known.iter().filter(|(_, known)| known.told);
-        let mut told: Vec<(&Fingerprint, &Known)> = told.collect();
-        told.sort_unstable_by_key(|(request, known)| {
-            let ended = Reverse(known.suspicion.ended);
-            (ended, known.age(now), **request)
+    /// Returns the next batch of at most `max` records for an entry that does
+    /// not have all of them. Successive calls cycle through all shared records
+    /// in descending order of crashes, and of these the newest first.
+    pub fn next_batch(&mut self, max: usize, now: Time) -> Vec<PoisonRecord> {
+        let shared = self.requests.iter().filter(|(_, state)| state.shared);
+        let mut shared: Vec<(&Fingerprint, &RequestState)> = shared.collect();
+        shared.sort_unstable_by_key(|(request, state)| {
+            let ended = Reverse(state.suspicion.ended);
+            (ended, state.age(now), **request)
         });
-        if self.cursor >= told.len() {
+        if self.cursor >= shared.len() {
             self.cursor = 0;
         }
-        let part = told.into_iter().skip(self.cursor).take(most);
-        let part: Vec<PoisonRecord> =
-            part.map(|(r, known)| record(*r, known, now)).collect();
-        self.cursor += part.len();
-        part
+        let batch = shared.into_iter().skip(self.cursor).take(max);
+        let batch: Vec<PoisonRecord> =
+            batch.map(|(r, state)| record(*r, state, now)).collect();
+        self.cursor += batch.len();
+        batch
     }
 
-    /// Returns a digest of all that others are told of.
+    /// Returns a digest of all shared records.
     pub fn digest(&self) -> u64 {
         let mut digest = 0;
-        for (request, known) in &self.known {
-            if known.told {
-                digest ^= digest_of(*request, known.suspicion);
+        for (request, state) in &self.requests {
+            if state.shared {
+                digest ^= record_digest(*request, state.suspicion);
             }
         }
         digest
     }
 
-    fn tell(&mut self, request: Fingerprint) {
-        if let Some(known) = self.known.get_mut(&request) {
-            known.told = true;
-            self.untold.insert(request);
+    fn share(&mut self, request: Fingerprint) {
+        if let Some(state) = self.requests.get_mut(&request) {
+            state.shared = true;
+            self.unsent.insert(request);
         }
     }
 
-    /// Drops a sixteenth of what is known once that is too much, the lightest
-    /// and of these the oldest first.
+    /// Removes a sixteenth of the requests if the table is full. Requests with
+    /// the fewest crashes are removed first, and of these the oldest.
     fn make_room(&mut self, now: Time) {
-        if self.known.len() < PoisonTable::MOST {
+        if self.requests.len() < PoisonTable::MAX_REQUESTS {
             return;
         }
         let mut all: Vec<(u8, Reverse<Duration>, Fingerprint)> =
-            Vec::with_capacity(self.known.len());
-        for (request, known) in &self.known {
-            let age = Reverse(known.age(now));
-            all.push((known.suspicion.ended, age, *request));
+            Vec::with_capacity(self.requests.len());
+        for (request, state) in &self.requests {
+            let age = Reverse(state.age(now));
+            all.push((state.suspicion.ended, age, *request));
         }
         all.sort_unstable();
-        for (_, _, request) in all.iter().take(PoisonTable::MOST / 16) {
-            self.known.remove(request);
-            self.untold.remove(request);
+        for (_, _, request) in all.iter().take(PoisonTable::MAX_REQUESTS / 16)
+        {
+            self.requests.remove(request);
+            self.unsent.remove(request);
         }
     }
 }
 
-fn record(request: Fingerprint, known: &Known, now: Time) -> PoisonRecord {
+fn record(
+    request: Fingerprint,
+    state: &RequestState,
+    now: Time,
+) -> PoisonRecord {
     PoisonRecord {
         request,
-        suspicion: known.suspicion,
-        age_ms: known.age(now).as_millis() as u64,
-        replicas: known.replicas.clone(),
+        suspicion: state.suspicion,
+        age_ms: state.age(now).as_millis() as u64,
+        replicas: state.replicas.clone(),
     }
 }
 
-fn digest_of(request: Fingerprint, suspicion: Suspicion) -> u64 {
+fn record_digest(request: Fingerprint, suspicion: Suspicion) -> u64 {
     let Suspicion { cleared, ended, trials } = suspicion;
     let text = format!("{request} {cleared} {ended} {trials}");
     let digest = Digest::of(text.as_bytes());
--- a/src/poison/table_tests.rs
+++ b/src/poison/table_tests.rs
@@ -1,5 +1,5 @@
-//! The table of poisoned requests: what quarantines a request, what does not,
-//! and that all entries come to the same.
+//! Tests for the table of poisoned requests: when a request is quarantined,
+//! and that the tables of all entries converge.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -28,8 +28,8 @@
     Arc::from(format!("i-{index}"))
 }
 
-/// Admits a request that has to be.
-fn sent(
+/// Admits a request, and panics if it is refused.
+fn admit(
     table: &mut PoisonTable,
     request: Fingerprint,
     now: Time,
@@ -40,74 +40,74 @@
     }
 }
 
-/// Has a request end so many replicas, one after the other.
-fn end_in_turn(
+/// Records that a request crashed `count` replicas in succession.
+fn crash_in_succession(
     table: &mut PoisonTable,
     request: Fingerprint,
     count: usize,
     now: Time,
 ) {
     for index in 0..count {
-        let known = sent(table, request, now);
-        table.record_end(request, known, &replica(index), now);
+        let suspicion = admit(table, request, now);
+        table.record_crash(request, suspicion, &replica(index), now);
     }
 }
 
 #[test]
-fn a_request_that_ends_three_replicas_in_turn_is_quarantined() {
+fn a_request_that_crashes_three_replicas_in_succession_is_quarantined() {
     let mut table = PoisonTable::default();
     let bad = request("bad");
-    end_in_turn(&mut table, bad, 2, at(0));
+    crash_in_succession(&mut table, bad, 2, at(0));
     assert_eq!(table.quarantined(), 0);
-    end_in_turn(&mut table, bad, 1, at(100));
+    crash_in_succession(&mut table, bad, 1, at(100));
     assert_eq!(table.quarantined(), 1);
     let Admission::Refused(refusal) = table.admit(bad, at(1_100)) else {
-        panic!("sent on");
+        panic!("admitted while quarantined");
     };
     assert_eq!(refusal.reason, RefusalReason::Quarantined);
     assert_eq!(refusal.age, Duration::from_secs(1));
-    let hold = PoisonTable::HOLDS[0];
-    assert_eq!(refusal.retry_after, hold - Duration::from_secs(1));
+    let delay = PoisonTable::TRIAL_DELAYS[0];
+    assert_eq!(refusal.retry_after, delay - Duration::from_secs(1));
     assert_eq!(refusal.replicas, [replica(0), replica(1), replica(0)]);
     let other = request("other");
-    assert_eq!(sent(&mut table, other, at(1_100)), Suspicion::default());
+    assert_eq!(admit(&mut table, other, at(1_100)), Suspicion::default());
 }
 
 #[test]
-fn replicas_that_end_together_count_once() {
+fn replicas_that_crash_together_count_once() {
     let mut table = PoisonTable::default();
     let hot = request("hot");
-    // It runs on eight replicas of a rack, which loses its power.
+    // The request runs on eight replicas of a rack that loses power.
     for index in 0..8 {
-        table.record_end(hot, Suspicion::default(), &replica(index), at(0));
+        table.record_crash(hot, Suspicion::default(), &replica(index), at(0));
     }
-    let known = sent(&mut table, hot, at(10));
-    assert_eq!(known, Suspicion { ended: 1, ..Suspicion::default() });
+    let suspicion = admit(&mut table, hot, at(10));
+    assert_eq!(suspicion, Suspicion { ended: 1, ..Suspicion::default() });
 }
 
 #[test]
-fn a_whole_answer_clears_a_request_of_all_that_went_before() {
+fn a_complete_answer_clears_a_request_of_earlier_crashes() {
     let mut table = PoisonTable::default();
     let hot = request("hot");
-    end_in_turn(&mut table, hot, 1, at(0));
-    let before = sent(&mut table, hot, at(5));
+    crash_in_succession(&mut table, hot, 1, at(0));
+    let before = admit(&mut table, hot, at(5));
     assert_eq!(table.record_answer(hot, at(10)), Some(before));
     assert_eq!(table.record_answer(hot, at(11)), None);
-    // One that had been sent before, and ends after.
-    let known = table.record_end(hot, before, &replica(7), at(20));
-    assert_eq!((known.cleared, known.ended), (1, 0));
-    end_in_turn(&mut table, hot, 2, at(30));
+    // A run that was started before the answer crashes a replica after it.
+    let suspicion = table.record_crash(hot, before, &replica(7), at(20));
+    assert_eq!((suspicion.cleared, suspicion.ended), (1, 0));
+    crash_in_succession(&mut table, hot, 2, at(30));
     assert_eq!(table.quarantined(), 0);
 }
 
 #[test]
-fn the_last_run_before_quarantine_has_no_other_beside_it() {
+fn the_last_run_before_quarantine_is_exclusive() {
     let mut table = PoisonTable::default();
     let bad = request("bad");
-    end_in_turn(&mut table, bad, 2, at(0));
-    sent(&mut table, bad, at(100));
+    crash_in_succession(&mut table, bad, 2, at(0));
+    admit(&mut table, bad, at(100));
     let Admission::Refused(refusal) = table.admit(bad, at(200)) else {
-        panic!("two at a time");
+        panic!("two runs at a time");
     };
     assert_eq!(refusal.reason, RefusalReason::OnTrial);
     assert_eq!(
@@ -115,81 +115,85 @@
         PoisonTable::TRIAL_PERIOD - Duration::from_millis(100)
     );
     table.finish_run(bad);
-    sent(&mut table, bad, at(200));
-    // One whose end nobody tells holds no other up for good.
-    sent(&mut table, bad, at(200).after(PoisonTable::TRIAL_PERIOD));
+    admit(&mut table, bad, at(200));
+    // A run whose end is never reported blocks others only temporarily.
+    admit(&mut table, bad, at(200).after(PoisonTable::TRIAL_PERIOD));
 }
 
 #[test]
-fn a_quarantined_request_is_tried_three_times_and_then_no_more() {
+fn a_quarantined_request_gets_at_most_three_trial_runs() {
     let mut table = PoisonTable::default();
     let bad = request("bad");
-    end_in_turn(&mut table, bad, 3, at(0));
+    crash_in_succession(&mut table, bad, 3, at(0));
     let mut now = at(0);
-    for (trial, hold) in PoisonTable::HOLDS.iter().enumerate() {
-        let early = now.after(*hold - Duration::from_millis(1));
+    for (trial, delay) in PoisonTable::TRIAL_DELAYS.iter().enumerate() {
+        let early = now.after(*delay - Duration::from_millis(1));
         assert!(matches!(table.admit(bad, early), Admission::Refused(_)));
-        now = now.after(*hold);
-        let known = sent(&mut table, bad, now);
-        assert_eq!(usize::from(known.trials), trial + 1);
-        // Whoever comes with it meanwhile is refused, here and elsewhere.
+        now = now.after(*delay);
+        let suspicion = admit(&mut table, bad, now);
+        assert_eq!(usize::from(suspicion.trials), trial + 1);
+        // Meanwhile this entry and others refuse the request.
         assert!(matches!(table.admit(bad, now), Admission::Refused(_)));
         let mut other = PoisonTable::default();
         other.merge(table.take_unsent(now), now);
         assert!(matches!(other.admit(bad, now), Admission::Refused(_)));
-        table.record_end(bad, known, &replica(9), now);
+        table.record_crash(bad, suspicion, &replica(9), now);
     }
-    // It comes every hour.
+    // The request arrives every hour.
     for _ in 0..100 {
         now = now.after(Duration::from_secs(3_600));
         table.sweep(now);
         let Admission::Refused(refusal) = table.admit(bad, now) else {
-            panic!("a fourth trial");
+            panic!("admitted to a fourth trial run");
         };
-        assert_eq!(refusal.retry_after, PoisonTable::QUARANTINE_KEPT);
+        assert_eq!(refusal.retry_after, PoisonTable::QUARANTINE_RETENTION);
     }
-    // It comes no more, and is forgotten.
-    now = now.after(PoisonTable::QUARANTINE_KEPT);
+    // The request stops arriving and is forgotten.
+    now = now.after(PoisonTable::QUARANTINE_RETENTION);
     table.sweep(now);
     assert!(table.is_empty());
 }
 
 #[test]
-fn a_trial_that_is_answered_lifts_the_quarantine_everywhere() {
+fn an_answered_trial_run_lifts_the_quarantine_everywhere() {
     let mut table = PoisonTable::default();
-    let mended = request("mended");
-    end_in_turn(&mut table, mended, 3, at(0));
+    let fixed = request("mended");
+    crash_in_succession(&mut table, fixed, 3, at(0));
     let mut other = PoisonTable::default();
     other.merge(table.take_unsent(at(0)), at(0));
     assert_eq!(other.quarantined(), 1);
-    let now = at(0).after(PoisonTable::HOLDS[0]);
-    sent(&mut table, mended, now);
-    table.record_answer(mended, now);
+    let now = at(0).after(PoisonTable::TRIAL_DELAYS[0]);
+    admit(&mut table, fixed, now);
+    table.record_answer(fixed, now);
     other.merge(table.take_unsent(now), now);
     assert_eq!(other.quarantined(), 0);
-    assert_eq!(sent(&mut other, mended, now).ended, 0);
+    assert_eq!(admit(&mut other, fixed, now).ended, 0);
 }
 
 #[test]
-fn an_end_is_told_once_the_request_is_given_up_or_ends_another() {
+fn a_crash_is_shared_after_giving_up_or_another_crash() {
     let mut table = PoisonTable::default();
-    let (sound, lost, bad) =
+    let (harmless, lost, bad) =
         (request("sound"), request("lost"), request("bad"));
-    end_in_turn(&mut table, sound, 1, at(0));
-    end_in_turn(&mut table, lost, 1, at(0));
-    assert!(table.take_unsent(at(0)).is_empty(), "they are sent on");
-    table.record_answer(sound, at(900));
+    crash_in_succession(&mut table, harmless, 1, at(0));
+    crash_in_succession(&mut table, lost, 1, at(0));
+    assert!(
+        table.take_unsent(at(0)).is_empty(),
+        "the requests are being retried"
+    );
+    table.record_answer(harmless, at(900));
     table.record_give_up(lost);
-    end_in_turn(&mut table, bad, 2, at(900));
-    let told = table.take_unsent(at(900));
-    let mut told: Vec<Fingerprint> = told.iter().map(|r| r.request).collect();
-    told.sort_unstable();
+    crash_in_succession(&mut table, bad, 2, at(900));
+    let shared = table.take_unsent(at(900));
+    let mut shared: Vec<Fingerprint> =
+        shared.iter().map(|r| r.request).collect();
+    shared.sort_unstable();
     let mut wanted = vec![lost, bad];
     wanted.sort_unstable();
-    assert_eq!(told, wanted);
-    // A caller that goes leaves nobody to give it up.
+    assert_eq!(shared, wanted);
+    // If the client disconnects, giving up is not recorded.
     let left = request("left");
-    end_in_turn(&mut table, left, 1, at(1_000));
+    crash_in_succession(&mut table, left, 1, at(1_000));
     table.sweep(at(2_999));
     assert!(table.take_unsent(at(2_999)).is_empty());
     table.sweep(at(3_000));
@@ -197,37 +201,37 @@
 }
 
 #[test]
-fn who_knows_nothing_learns_all_part_by_part() {
+fn an_empty_table_learns_all_records_in_batches() {
     let mut full = PoisonTable::default();
     for index in 0..100 {
         let name = request(&format!("r{index}"));
-        end_in_turn(&mut full, name, 2 + index % 2, at(index as u64));
+        crash_in_succession(&mut full, name, 2 + index % 2, at(index as u64));
     }
     let mut empty = PoisonTable::default();
-    let mut parts = 0;
+    let mut batches = 0;
     while empty.digest() != full.digest() {
-        let part = full.next_batch(8, at(500));
-        if parts == 0 {
-            assert!(part.iter().all(|r| r.suspicion.is_quarantined()));
+        let batch = full.next_batch(8, at(500));
+        if batches == 0 {
+            assert!(batch.iter().all(|r| r.suspicion.is_quarantined()));
         }
-        empty.merge(part, at(500));
-        parts += 1;
-        assert!(parts <= 13, "{} of 100", empty.len());
+        empty.merge(batch, at(500));
+        batches += 1;
+        assert!(batches <= 13, "{} of 100", empty.len());
     }
     assert_eq!(empty.quarantined(), 50);
 }
 
 #[test]
-fn a_table_is_bounded_and_keeps_what_is_quarantined() {
+fn a_full_table_keeps_quarantined_requests() {
     let mut table = PoisonTable::default();
     let bad = request("bad");
-    end_in_turn(&mut table, bad, 3, at(0));
-    for index in 0..PoisonTable::MOST + 100 {
+    crash_in_succession(&mut table, bad, 3, at(0));
+    for index in 0..PoisonTable::MAX_REQUESTS + 100 {
         let name = request(&format!("r{index}"));
-        let known = Suspicion::default();
-        table.record_end(name, known, &replica(0), at(1_000));
+        let suspicion = Suspicion::default();
+        table.record_crash(name, suspicion, &replica(0), at(1_000));
     }
-    assert!(table.len() <= PoisonTable::MOST);
+    assert!(table.len() <= PoisonTable::MAX_REQUESTS);
     assert_eq!(table.quarantined(), 1);
     let before = table.len();
     let out_of_range = PoisonRecord {
@@ -246,14 +250,14 @@
 }
 
 #[test]
-fn a_message_of_the_longest_names_fits_into_a_datagram() {
+fn a_message_with_the_longest_names_fits_into_a_datagram() {
     let mut table = PoisonTable::default();
     let long: Arc<str> = Arc::from("\u{e9}".repeat(400));
     for index in 0..PoisonMessage::MAX_RECORDS {
         let name = request(&format!("r{index}"));
         for _ in 0..3 {
-            let known = sent(&mut table, name, at(0));
-            table.record_end(name, known, &long, at(0));
+            let suspicion = admit(&mut table, name, at(0));
+            table.record_crash(name, suspicion, &long, at(0));
         }
     }
     let records = table.next_batch(PoisonMessage::MAX_RECORDS, at(0));
@@ -263,28 +267,28 @@
     assert!(json.len() <= 4_096, "{} bytes", json.len());
 }
 
-/// A hall of replicas on which a request of many callers runs, with racks
-/// that fail at random: it is never quarantined.
+/// Guards against quarantining a harmless request that runs on all replicas of
+/// a hall while racks fail at random.
 #[test]
-fn no_request_that_runs_everywhere_is_quarantined_as_racks_fail() {
+fn rack_failures_do_not_quarantine_a_request_that_runs_everywhere() {
     const REPLICAS: usize = 24;
     const RACK: usize = 6;
     for seed in 0..1_000 {
-        let mut draw = StdRng::seed_from_u64(seed);
+        let mut rng = StdRng::seed_from_u64(seed);
         let mut table = PoisonTable::default();
         let hot = request("hot");
-        // What was known when each replica's run was sent there, and until
-        // when it lasts.
+        // For each replica, the suspicion at the start of its run and the time
+        // at which the run ends.
         let mut runs: Vec<(Suspicion, u64)> = Vec::new();
         for now in (0..60_000).step_by(50) {
             runs.resize(REPLICAS, (Suspicion::default(), now));
             for (index, run) in runs.iter_mut().enumerate() {
-                if run.1 > now || draw.random_ratio(1, 8) {
+                if run.1 > now || rng.random_ratio(1, 8) {
                     continue;
                 }
                 table.record_answer(hot, at(now));
                 match table.admit(hot, at(now)) {
-                    Admission::Admitted(known) => *run = (known, now + 800),
+                    Admission::Admitted(sent) => *run = (sent, now + 800),
                     Admission::Refused(refusal) => {
                         let reason = RefusalReason::OnTrial;
                         let why = format!("seed {seed}, {index}: {refusal}");
@@ -292,13 +296,13 @@
                     }
                 }
             }
-            if !draw.random_ratio(1, 40) {
+            if !rng.random_ratio(1, 40) {
                 continue;
             }
-            let first = draw.random_range(0..REPLICAS / RACK) * RACK;
+            let first = rng.random_range(0..REPLICAS / RACK) * RACK;
             for (index, run) in runs.iter_mut().enumerate() {
                 if (first..first + RACK).contains(&index) && run.1 > now {
-                    table.record_end(hot, run.0, &replica(index), at(now));
+                    table.record_crash(hot, run.0, &replica(index), at(now));
                     run.1 = now;
                 }
             }
@@ -321,29 +325,29 @@
 }
 
 proptest! {
-    /// Whatever order records come in, how often, and by which of two
-    /// entries, both come to know the same.
+    /// Guards against tables that differ after the same records have arrived
+    /// in another order or more than once.
     #[test]
-    fn all_entries_come_to_know_the_same(
+    fn the_tables_of_all_entries_converge(
         records in proptest::collection::vec(any_record(), 1..24),
         order in any::<u64>(),
     ) {
         let now = at(100_000);
-        let mut draw = StdRng::seed_from_u64(order);
+        let mut rng = StdRng::seed_from_u64(order);
         let mut one = PoisonTable::default();
         let mut two = PoisonTable::default();
         one.merge(records.clone(), now);
         let mut shuffled = records;
         for last in (1..shuffled.len()).rev() {
-            shuffled.swap(last, draw.random_range(0..=last));
+            shuffled.swap(last, rng.random_range(0..=last));
         }
         for record in shuffled {
             let twice = vec![record.clone(), record];
             two.merge(twice, now);
         }
         prop_assert_eq!(one.digest(), two.digest());
-        let told = one.next_batch(100, now);
-        two.merge(told, now);
+        let batch = one.next_batch(100, now);
+        two.merge(batch, now);
         prop_assert_eq!(one.digest(), two.digest());
         prop_assert_eq!(one.quarantined(), two.quarantined());
     }
