--- a/src/placing/leaving.rs
+++ b/src/placing/leaving.rs
@@ -1,9 +1,9 @@
-//! Announcements in the answers of replicas that they are about to stop.
+//! Announcements by replicas, in their answers, that they are leaving.
 
 use crate::Time;
 
-/// Whether a replica is leaving, that is, about to stop, as known from its
-/// answers.
+/// Whether a replica is leaving, as known from its answers. A leaving replica
+/// is sent no new requests.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct KnownLeaving {
     /// When the last answer that announced the departure was received.
--- a/src/placing/rate_limit.rs
+++ b/src/placing/rate_limit.rs
@@ -63,8 +63,8 @@
     /// usable placer.
     const FALLBACK_SHARE: f64 = 0.2;
 
-    /// The number of standard deviations above the mean that the requests in a
-    /// span may reach without exceeding the tolerated number.
+    /// The number of standard deviations above the mean up to which the
+    /// requests in a span stay within the tolerated number.
     const MAX_DEVIATIONS: f64 = 5.0;
 
     /// The requests per span that are sent even at a limit of 0, because only
--- a/src/placing/sent_window.rs
+++ b/src/placing/sent_window.rs
@@ -57,8 +57,8 @@
         let Some(first) = self.sent.len().checked_sub(pace.max) else {
             return true;
         };
-        // Fewer than `max` requests are handled above, so `first` is
-        // out of range only if `max` is 0.
+        // Fewer than `max` requests are handled above, so `first` is out of
+        // range only if `max` is 0.
         let Some(sent) = self.sent.get(first) else { return pace.max > 0 };
         now.since(*sent) >= pace.span
     }
