--- a/src/direct/reader_choice.rs
+++ b/src/direct/reader_choice.rs
@@ -19,7 +19,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::Time;
-use crate::placing::LEADING;
+use crate::placing::MAX_LEADING_ENTRIES;
 
 /// An entry that other entries can ask.
 #[derive(
@@ -51,7 +51,7 @@
 impl ReaderChoice {
     /// The maximum number of entries to ask before reading the platform. It
     /// equals the number of entries of its hall that an entry is told of.
-    pub const MAX_ASKED: usize = LEADING;
+    pub const MAX_ASKED: usize = MAX_LEADING_ENTRIES;
 
     /// The number of a hall's entries with stale data from which an entry
     /// concludes that the hall has received nothing newer from the platform.
@@ -208,7 +208,7 @@
         entries: &[HallEntry],
         leading: usize,
     ) -> Option<SocketAddr> {
-        if self.leads(entries) || leading < LEADING {
+        if self.leads(entries) || leading < MAX_LEADING_ENTRIES {
             return None;
         }
         self.responsive_among(hall_addrs(entries, &self.own.hall))
--- /dev/null
+++ b/src/poison/message.rs
@@ -0,0 +1,32 @@
+//! Messages between entries about poisoned requests.
+
+use serde::{Deserialize, Serialize};
+
+use super::PoisonRecord;
+
+/// A message, which fits into one datagram.
+#[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
+#[serde(rename_all = "snake_case")]
+pub enum PoisonMessage {
+    /// Records that have just changed. There is no answer.
+    Changed(Vec<PoisonRecord>),
+    /// The digest of the sender's table; asks for records that the sender does
+    /// not have.
+    Digest(u64),
+    /// The answer to a digest that differs from that of the sender's table.
+    /// The receiver answers with records of its own as
+    /// [`PoisonMessage::Changed`].
+    Differs {
+        /// The digest of the sender's whole table.
+        digest: u64,
+        /// Some of the records in that table.
+        records: Vec<PoisonRecord>,
+    },
+}
+
+impl PoisonMessage {
+    /// The maximum number of records in one message. A record with three
+    /// replica names of the maximum length takes 350 bytes of JSON, and a
+    /// datagram holds at most 4,096 bytes.
+    pub const MAX_RECORDS: usize = 8;
+}
