--- a/crates/entry/src/front.rs
+++ b/crates/entry/src/front.rs
@@ -324,7 +324,7 @@
 
     /// Decides what comes after a failure.
     async fn after(&mut self, failure: Failure) -> RetryDecision {
-        let harm = matches!(failure, Failure::Unanswered | Failure::Failed(_));
+        let harm = matches!(failure, Failure::NoResponse | Failure::Failed(_));
         let more = match failure {
             // Another agent would ask the same guard, or know of the same
             // ends.
--- a/crates/entry/src/send.rs
+++ b/crates/entry/src/send.rs
@@ -70,7 +70,7 @@
                 self.seat(&chosen.name, |s| s.health.record_failure(now));
                 return Err(FailedAttempt::from(match err {
                     CallError::Unsent(_) => Failure::Unsent,
-                    CallError::Silent(_) => Failure::Unanswered,
+                    CallError::Silent(_) => Failure::NoResponse,
                 }));
             }
         };
--- a/crates/model/src/once.rs
+++ b/crates/model/src/once.rs
@@ -275,7 +275,7 @@
         let entry = &mut to.entries[e];
         entry.tries[i].said = Some(ran);
         let more = entry.tries.len() < self.most(e);
-        entry.course.failed(Failure::Unanswered, more);
+        entry.course.failed(Failure::NoResponse, more);
         if let RetryDecision::Respond(_, ran) = entry.course.revoked(ran, more)
         {
             entry.answer = Some(ran);
--- a/src/request/retry.rs
+++ b/src/request/retry.rs
@@ -18,9 +18,9 @@
     Duplicate(Code),
     /// The attempt was sent, and the connection to the agent was lost before
     /// an answer came.
-    Unanswered,
+    NoResponse,
     /// The answer broke off after part of it had been sent to the caller.
-    AnswerBroke,
+    Interrupted,
 }
 
 /// What an entry does next with a request.
@@ -44,12 +44,12 @@
 /// use stairhinge::{Code, Ran};
 ///
 /// let mut once = RequestRetry::new(false);
-/// assert_eq!(once.failed(Failure::Unanswered, true), RetryDecision::Revoke);
+/// assert_eq!(once.failed(Failure::NoResponse, true), RetryDecision::Revoke);
 /// assert_eq!(once.revoked(Ran::DidNotRun, true), RetryDecision::Retry);
 ///
 /// // An attempt that may have run counts even if the next one is refused.
 /// let mut many = RequestRetry::new(true);
-/// assert_eq!(many.failed(Failure::Unanswered, true), RetryDecision::Retry);
+/// assert_eq!(many.failed(Failure::NoResponse, true), RetryDecision::Retry);
 /// let last = many.failed(Failure::Refused(Code::NotServing), false);
 /// assert_eq!(
 ///     last,
@@ -93,11 +93,11 @@
                 let ran = code.ran().unwrap_or(Ran::MayHaveRun);
                 RetryDecision::Respond(code, ran.max(self.ran_before))
             }
-            Failure::Unanswered if self.repeatable => {
+            Failure::NoResponse if self.repeatable => {
                 self.after_possible_run(Code::LostBackend, may_retry)
             }
-            Failure::Unanswered => RetryDecision::Revoke,
-            Failure::AnswerBroke => {
+            Failure::NoResponse => RetryDecision::Revoke,
+            Failure::Interrupted => {
                 self.after_possible_run(Code::AnswerBroke, false)
             }
         }
--- a/src/request/tests.rs
+++ b/src/request/tests.rs
@@ -177,7 +177,7 @@
 
 #[test]
 fn decision_after_a_failed_attempt() {
-    use Failure::{AnswerBroke, Failed, Refused, Unanswered, Unsent};
+    use Failure::{Failed, Interrupted, NoResponse, Refused, Unsent};
     let not = |code| RetryDecision::Respond(code, Ran::DidNotRun);
     let may = |code| RetryDecision::Respond(code, Ran::MayHaveRun);
     let full = Refused(Code::NotServing);
@@ -190,10 +190,10 @@
         (false, Unsent, false, not(Code::NoBackend)),
         (false, full, true, RetryDecision::Retry),
         (false, full, false, not(Code::NotServing)),
-        (true, Unanswered, true, RetryDecision::Retry),
-        (true, Unanswered, false, may(Code::LostBackend)),
-        (false, Unanswered, true, RetryDecision::Revoke),
-        (false, Unanswered, false, RetryDecision::Revoke),
+        (true, NoResponse, true, RetryDecision::Retry),
+        (true, NoResponse, false, may(Code::LostBackend)),
+        (false, NoResponse, true, RetryDecision::Revoke),
+        (false, NoResponse, false, RetryDecision::Revoke),
         (true, failed, true, RetryDecision::Retry),
         (false, failed, true, may(Code::EngineLost)),
         (
@@ -202,8 +202,8 @@
             true,
             RetryDecision::Respond(Code::DuplicateRan, Ran::Ran),
         ),
-        (true, AnswerBroke, true, may(Code::AnswerBroke)),
-        (false, AnswerBroke, true, may(Code::AnswerBroke)),
+        (true, Interrupted, true, may(Code::AnswerBroke)),
+        (false, Interrupted, true, may(Code::AnswerBroke)),
     ];
     for (repeatable, failure, may_retry, decision) in table {
         let got = RequestRetry::new(repeatable).failed(failure, may_retry);
