--- a/src/document/patch.rs
+++ b/src/document/patch.rs
@@ -1,4 +1,4 @@
-//! The difference between two texts that differ in several indices.
+//! The difference between two texts that differ in several places.
 //!
 //! A [`Delta`](super::Delta) replaces one range. A document of many records
 //! has its revision near its start and changes in another place as well, so a
