--- a/src/code.rs
+++ b/src/code.rs
@@ -195,7 +195,7 @@
         "The request timed out before its answer was complete.",
         "Repeat the request only if it is repeatable, or allow more time.";
     Quarantined = 3020, 503, DID_NOT_RUN,
-        "Backend servers terminated in succession running this request.",
+        "Backend servers crashed in succession while running this request.",
         "Fix the request; it is tried again after `Retry-After`.";
     NoRegion = 3021, 503, DID_NOT_RUN,
         "No backend server in an allowed region can accept the request now.",
--- a/src/explanation/cause.rs
+++ b/src/explanation/cause.rs
@@ -60,9 +60,9 @@
         /// Why the attempt failed.
         reason: Arc<str>,
     },
-    /// It is quarantined, because replicas terminated while running it.
+    /// It is quarantined, because replicas crashed while running it.
     Quarantined {
-        /// The replicas that terminated.
+        /// The replicas that crashed.
         replicas: Vec<Arc<str>>,
         /// How long the entry had known this, in milliseconds.
         age_ms: u64,
@@ -308,7 +308,7 @@
                 let replicas = replicas.join(", ");
                 write!(
                     f,
-                    "replicas {replicas} terminated running it, known for "
+                    "replicas {replicas} crashed while running it, known for "
                 )?;
                 write!(f, "{age_ms} ms; it may be sent again in {back_ms} ms")
             }
--- a/src/explanation/log_line.rs
+++ b/src/explanation/log_line.rs
@@ -135,21 +135,20 @@
         /// What the entry does next.
         next: Arc<str>,
     },
-    /// A replica terminated while running a request.
+    /// A replica crashed while running a request.
     PoisonSuspected {
         /// The request's id.
         request: Arc<str>,
         /// The replica's incarnation.
         replica: Arc<str>,
-        /// How many replicas have terminated while running it, one after
-        /// another.
+        /// How many replicas have crashed in succession while running it.
         ended: u8,
     },
-    /// A request was refused, because it terminates the replicas that run it.
+    /// A request was refused, because it crashes the replicas that run it.
     PoisonRefused {
         /// The request's id.
         request: Arc<str>,
-        /// The replicas that terminated while running it.
+        /// The replicas that crashed while running it.
         replicas: Vec<Arc<str>>,
         /// How long the entry had known this, in milliseconds.
         age_ms: u64,
@@ -161,7 +160,7 @@
         /// The request's id.
         request: Arc<str>,
     },
-    /// A request that had terminated replicas was answered completely.
+    /// A request that had crashed replicas was answered completely.
     PoisonCleared {
         /// The request's id.
         request: Arc<str>,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -23,7 +23,7 @@
 * [`routing`] selects a backend server.
 * [`direct`] serves requests from entries directly to replicas: routes, keys,
   retries, resumption of streams at another replica, and rollout order.
-* [`poison`] detects requests that terminate the replicas that run them.
+* [`poison`] detects requests that crash the replicas that run them.
 * [`placing`] lets one entry of a data hall select replicas for all entries of
   that hall.
 * [`event`] merges the events of all processes into one timeline.
