--- a/src/code.rs
+++ b/src/code.rs
@@ -196,7 +196,8 @@
         "Repeat the request only if it is repeatable, or allow more time.";
     Quarantined = 3020, 503, DID_NOT_RUN,
         "Backend servers crashed in succession while running this request.",
-        "Fix the request; it is tried again after `Retry-After`.";
+        "Fix the request; it is tried again after the time given in \
+         `Retry-After`.";
     NoRegion = 3021, 503, DID_NOT_RUN,
         "No backend server in an allowed region can accept the request now.",
         "Retry after the time given in `Retry-After`, \
