--- a/src/direct/retry_share.rs
+++ b/src/direct/retry_share.rs
@@ -33,8 +33,8 @@
     /// The minimum number of entries that the allowance is divided by, also
     /// while their number is unknown. A newly started entry has seen few
     /// requests, and with a larger allowance it would retry one request on
-    /// several replicas that end for other reasons, as if the request were
-    /// the cause.
+    /// several replicas that crash for other reasons, as if the request
+    /// were the cause.
     const MIN_ENTRIES: usize = 40;
 
     /// Returns the share of a budget that allows retries of `ratio` of the
--- a/src/explanation/log_line.rs
+++ b/src/explanation/log_line.rs
@@ -52,7 +52,7 @@
         /// The version.
         version: u64,
     },
-    /// A replica was added to the list of replicas, or its entry changed.
+    /// A replica was added to the list of replicas, or its record changed.
     ReplicaListed {
         /// The replica's incarnation.
         replica: Arc<str>,
--- a/src/number.rs
+++ b/src/number.rs
@@ -35,7 +35,7 @@
 ///
 /// # Errors
 ///
-/// The same as of [`whole`].
+/// The same as [`whole`].
 pub fn maybe_whole<'de, D, T>(deserializer: D) -> Result<Option<T>, D::Error>
 where
     D: Deserializer<'de>,
--- a/src/placing/message.rs
+++ b/src/placing/message.rs
@@ -50,7 +50,7 @@
     /// The required version, if only one is acceptable.
     pub version: Option<u64>,
     /// Replicas that must not be chosen because the request has been sent to
-    /// them already or because they have asked for a pause.
+    /// them already or because their `Retry-After` has not expired.
     pub tried: Vec<Arc<str>>,
     /// The priority; 0 is the most urgent.
     pub priority: u8,
