--- a/crates/chunks/src/cache.rs
+++ b/crates/chunks/src/cache.rs
@@ -21,11 +21,11 @@
 use tokio::time::Instant;
 
 use self::owner::CacheOwner;
-use crate::answer::{ChunkServer, span, version_path};
 use crate::fetch::fetch;
 use crate::find_manifest::find_manifest;
-use crate::owner::{Drawing, log_failure};
-use crate::peers::{ANY, DRAW, STANDING, Standing};
+use crate::owner::{FetchContext, log_failure};
+use crate::peers::{ANY, CacheStatus, DRAW, STANDING};
+use crate::server::{ChunkServer, span, version_path};
 
 /// How long a version is drawn on though nobody asks for it: questions wait
 /// for 0.8 s here, so who still wants it asks again sooner.
@@ -59,7 +59,7 @@
 const MOST_VERSIONS: usize = 3;
 
 /// What an entry knows of others that a cache draws from.
-pub trait CacheSite: Send + Sync {
+pub trait CachePeers: Send + Sync {
     /// Returns the entries that hold chunks, of all data halls.
     fn entries(&self) -> Vec<HallEntry>;
 
@@ -85,8 +85,8 @@
 
 /// Holds versions for the agents of a data hall.
 pub struct ChunkCache {
-    drawing: Drawing,
-    site: Arc<dyn CacheSite>,
+    context: FetchContext,
+    peers: Arc<dyn CachePeers>,
     server: ChunkServer,
     /// The versions drawn or held.
     draws: Mutex<HashMap<Version, Draw>>,
@@ -95,15 +95,15 @@
 impl ChunkCache {
     /// Returns an empty cache that sends over a shaped link.
     pub fn new(
-        drawing: Drawing,
-        site: Arc<dyn CacheSite>,
+        context: FetchContext,
+        peers: Arc<dyn CachePeers>,
         uplink: Shaper,
     ) -> Arc<ChunkCache> {
-        let holdings = Arc::clone(&drawing.holdings);
+        let holdings = Arc::clone(&context.holdings);
         Arc::new(ChunkCache {
             server: ChunkServer::new(holdings, None, uplink),
-            drawing,
-            site,
+            context,
+            peers,
             draws: Mutex::default(),
         })
     }
@@ -131,7 +131,7 @@
         }
         let (model, version) = ChunkServer::manifest_path(&path)?;
         self.want(model, version, span(query, "idle_ms"));
-        Some(self.server.manifest(model, version, query).await)
+        Some(self.server.answer_manifest(model, version, query).await)
     }
 
     fn standing(
@@ -139,8 +139,8 @@
         model: &str,
         version: u64,
     ) -> Result<Response<Body>, Error> {
-        let holdings = &self.drawing.holdings;
-        let mut standing = Standing::default();
+        let holdings = &self.context.holdings;
+        let mut standing = CacheStatus::default();
         if let Some(manifest) = holdings.manifest(model, version) {
             standing.held = holdings.count(&manifest);
             standing.chunks = manifest.digests.len();
@@ -158,10 +158,10 @@
         self: &Arc<Self>,
         request: Request<Incoming>,
     ) -> Result<Response<Body>, Error> {
-        let question = ChunkServer::question(request).await?;
+        let question = ChunkServer::read_request(request).await?;
         let idle = Duration::from_millis(question.idle_ms);
         self.want(&question.model, question.version, idle);
-        self.server.any(&question).await
+        self.server.answer_any(&question).await
     }
 
     /// Takes note that an agent wanted a version `idle` ago, and begins to
@@ -185,7 +185,7 @@
             let Some((oldest, _)) = oldest else { break };
             let oldest = oldest.clone();
             draws.remove(&oldest);
-            self.drawing.holdings.drop_version(&oldest.0, oldest.1);
+            self.context.holdings.remove_version(&oldest.0, oldest.1);
         }
         drop(draws);
         tokio::spawn(Arc::clone(self).hold(key));
@@ -199,7 +199,7 @@
             () = self.superseded(&key) => {}
         }
         self.lock().remove(&key);
-        self.drawing.holdings.drop_version(&key.0, key.1);
+        self.context.holdings.remove_version(&key.0, key.1);
     }
 
     /// Draws a version as long as it is asked for, and ends once it is held
@@ -226,11 +226,11 @@
         let owner = CacheOwner { cache: self, key, late };
         loop {
             let manifest =
-                find_manifest(&self.drawing, &owner, model, version).await;
-            let drawn = fetch(&self.drawing, &owner, &manifest).await;
+                find_manifest(&self.context, &owner, model, version).await;
+            let drawn = fetch(&self.context, &owner, &manifest).await;
             let Err(error) = drawn else { return };
-            log_failure(&self.drawing.facts, "cache", &error);
-            self.drawing.holdings.drop_version(model, version);
+            log_failure(&self.context.facts, "cache", &error);
+            self.context.holdings.remove_version(model, version);
         }
     }
 
@@ -258,7 +258,7 @@
 
     /// Whether others may have drawn some of a version before.
     fn is_late(&self, key: &Version) -> bool {
-        let facts = &self.drawing.facts;
+        let facts = &self.context.facts;
         let view = facts.view();
         let named = view.targets.targeted_at(&key.0, key.1);
         named.is_none_or(|at| facts.now().since(at) > LATE)
@@ -288,7 +288,7 @@
     async fn superseded(&self, key: &Version) {
         loop {
             tokio::time::sleep(LOOK).await;
-            if !self.site.holders(&key.0, key.1).is_empty() {
+            if !self.peers.holders(&key.0, key.1).is_empty() {
                 continue;
             }
             let newer = self
@@ -303,7 +303,7 @@
 
     /// Returns the part of a version that is held.
     fn held_part(&self, key: &Version) -> f64 {
-        let holdings = &self.drawing.holdings;
+        let holdings = &self.context.holdings;
         let Some(manifest) = holdings.manifest(&key.0, key.1) else {
             return 0.0;
         };
--- a/crates/chunks/src/cache/owner.rs
+++ b/crates/chunks/src/cache/owner.rs
@@ -22,9 +22,9 @@
 
 impl ChunkOwner for CacheOwner<'_> {
     fn peers(&self) -> Vec<Peer> {
-        let me = self.cache.drawing.addr;
+        let me = self.cache.context.addr;
         let mut peers = Vec::new();
-        for entry in self.cache.site.entries() {
+        for entry in self.cache.peers.entries() {
             if entry.addr != me {
                 peers.push((entry.hall, entry.addr));
             }
@@ -38,31 +38,31 @@
     }
 
     fn holders(&self, model: &str, version: u64) -> Vec<SocketAddr> {
-        self.cache.site.holders(model, version)
+        self.cache.peers.holders(model, version)
     }
 
-    fn part_holders(&self) -> Vec<SocketAddr> {
-        if self.late { self.cache.site.agents() } else { Vec::new() }
+    fn partial_holders(&self) -> Vec<SocketAddr> {
+        if self.late { self.cache.peers.agents() } else { Vec::new() }
     }
 
     // Few entries draw at a time, so each chunk has its share of the
     // origin's link at once.
-    fn origin_pace(&self, _: u32) -> Duration {
+    fn origin_interval(&self, _: u32) -> Duration {
         Duration::ZERO
     }
 
-    fn questions(&self, most: usize) -> usize {
+    fn max_requests(&self, most: usize) -> usize {
         most
     }
 
-    fn moved(&self, source: &Source) {
+    fn record_progress(&self, source: &Source) {
         self.cache.note(self.key, |draw| {
             draw.moved = Instant::now();
             draw.origin_lost &= *source != Source::Origin;
         });
     }
 
-    fn origin_failed(&self) {
+    fn record_origin_failure(&self) {
         self.cache.note(self.key, |draw| draw.origin_lost = true);
     }
 
@@ -71,7 +71,7 @@
         at.map_or(HELD_FOR, |at| at.elapsed())
     }
 
-    fn kept<'a>(
+    fn store_chunk<'a>(
         &'a self,
         _: &'a VersionManifest,
         _: u32,
--- a/crates/chunks/src/fetch.rs
+++ b/crates/chunks/src/fetch.rs
@@ -1,4 +1,4 @@
-//! Drawing the chunks of a version.
+//! FetchContext the chunks of a version.
 
 use std::time::{Duration, Instant};
 
@@ -8,10 +8,10 @@
 use stairhinge::{Code, Error};
 use stairhinge_shell::decisions::Decision;
 
-use crate::draw::{put, take};
 use crate::manifest::VersionManifest;
-use crate::owner::{ChunkOwner, Drawing, log_failure};
+use crate::owner::{ChunkOwner, FetchContext, log_failure};
 use crate::sources::Sources;
+use crate::transfer::{handle_response, send_request};
 
 /// How long to wait before looking again when nobody can be asked.
 const PAUSE: Duration = Duration::from_millis(50);
@@ -55,13 +55,13 @@
 /// [`Code::BadManifest`] if chunks keep failing, so that the manifest itself
 /// is in doubt.
 pub async fn fetch(
-    drawing: &Drawing,
+    context: &FetchContext,
     owner: &dyn ChunkOwner,
     manifest: &VersionManifest,
 ) -> Result<(), Error> {
     let started = Instant::now();
-    let facts = &drawing.facts;
-    let holdings = &drawing.holdings;
+    let facts = &context.facts;
+    let holdings = &context.holdings;
     let held = holdings.count(manifest);
     facts.log().write(&Decision::FetchBegun {
         model: &manifest.model,
@@ -72,7 +72,7 @@
     let mut drawn = Drawn::default();
     let mut spoilt = 0;
     let mut known = Sources::of(owner, manifest);
-    let mut puller = known.puller(drawing, owner, manifest);
+    let mut puller = known.puller(context, owner, manifest);
     let mut ready = RequestQueue::new();
     let mut asked = FuturesUnordered::new();
     let mut logged = Instant::now();
@@ -82,14 +82,14 @@
         for question in puller.poll(now) {
             ready.push(question);
         }
-        let mut most = owner.questions(known.count());
+        let mut most = owner.max_requests(known.count());
         // Without a cache others wait for what is drawn here.
         if let Some(pace) = owner.pace().filter(|_| known.has_cache()) {
             let missing = puller.missing().count();
             most = most.min(missing.saturating_sub(pace.missing_at(now)));
         }
         while let Some(question) = ready.next(asked.len(), most) {
-            asked.push(put(drawing, owner, manifest, question));
+            asked.push(send_request(context, owner, manifest, question));
         }
         let timer = tokio::time::sleep(PAUSE);
         let done = tokio::select! {
@@ -97,12 +97,18 @@
             () = timer => None,
         };
         if let Some((source, answer)) = done {
-            let taken =
-                take(drawing, owner, manifest, &mut puller, &source, answer)
-                    .await;
+            let taken = handle_response(
+                context,
+                owner,
+                manifest,
+                &mut puller,
+                &source,
+                answer,
+            )
+            .await;
             match taken {
                 Ok(true) => {
-                    owner.moved(&source);
+                    owner.record_progress(&source);
                     drawn.count(&source);
                 }
                 Ok(false) => {}
@@ -110,7 +116,7 @@
                     log_failure(facts, source.name(), &error);
                     puller.record_failure(&source, facts.now());
                     if source == Source::Origin {
-                        owner.origin_failed();
+                        owner.record_origin_failure();
                     }
                     let corrupt = error.code() == Code::CorruptChunk;
                     spoilt += u32::from(corrupt);
@@ -123,16 +129,16 @@
         }
         if logged.elapsed() > PROGRESS {
             logged = Instant::now();
-            log_progress(drawing, owner, &puller);
+            log_progress(context, owner, &puller);
         }
         if Instant::now() > listed_next {
             listed_next += started.elapsed();
-            owner.relist();
+            owner.refresh_peers();
         }
         let now = Sources::of(owner, manifest);
         if now != known {
             known = now;
-            puller.set_ranking(known.walk(drawing, manifest));
+            puller.set_ranking(known.walk(context, manifest));
         }
     }
     facts.log().write(&Decision::FetchDone {
@@ -146,10 +152,14 @@
     Ok(())
 }
 
-fn log_progress(drawing: &Drawing, owner: &dyn ChunkOwner, puller: &Puller) {
-    let (asked, suspects) = puller.pending_and_suspect(drawing.facts.now());
-    let (link_part, uplink_part) = owner.link_parts();
-    drawing.facts.log().write(&Decision::FetchProgress {
+fn log_progress(
+    context: &FetchContext,
+    owner: &dyn ChunkOwner,
+    puller: &Puller,
+) {
+    let (asked, suspects) = puller.pending_and_suspect(context.facts.now());
+    let (link_part, uplink_part) = owner.link_shares();
+    context.facts.log().write(&Decision::FetchProgress {
         share: puller.held_permille(),
         missing: puller.missing().take(MOST_LOGGED).collect(),
         link_part,
--- a/crates/chunks/src/find_manifest.rs
+++ b/crates/chunks/src/find_manifest.rs
@@ -8,7 +8,7 @@
 use stairhinge::{Code, Error, rank};
 
 use crate::manifest::VersionManifest;
-use crate::owner::{ChunkOwner, Drawing, log_failure};
+use crate::owner::{ChunkOwner, FetchContext, log_failure};
 use crate::peers::manifest as ask_manifest;
 
 /// How long to wait before asking again.
@@ -25,25 +25,25 @@
 
 /// Returns the manifest of a version, from whoever has it.
 pub async fn find_manifest(
-    drawing: &Drawing,
+    context: &FetchContext,
     owner: &dyn ChunkOwner,
     model: &Arc<str>,
     version: u64,
 ) -> Arc<VersionManifest> {
-    let search = Search { drawing, owner, model, version };
+    let search = Search { context, owner, model, version };
     let started = Instant::now();
     let mut round = 0;
     loop {
-        if let Some(manifest) = drawing.holdings.manifest(model, version) {
+        if let Some(manifest) = context.holdings.manifest(model, version) {
             return manifest;
         }
         match search.ask(round, started.elapsed()).await {
             Ok(manifest) => {
                 let manifest = Arc::new(manifest);
-                drawing.holdings.remember(&manifest);
+                context.holdings.add_manifest(&manifest);
                 return manifest;
             }
-            Err(error) => log_failure(&drawing.facts, "manifest", &error),
+            Err(error) => log_failure(&context.facts, "manifest", &error),
         }
         round += 1;
         tokio::time::sleep(PAUSE).await;
@@ -52,7 +52,7 @@
 
 /// A search for the manifest of one version.
 struct Search<'a> {
-    drawing: &'a Drawing,
+    context: &'a FetchContext,
     owner: &'a dyn ChunkOwner,
     model: &'a Arc<str>,
     version: u64,
@@ -78,7 +78,7 @@
     fn near(&self) -> Vec<SocketAddr> {
         let mut near = self.owner.caches();
         near.extend(self.owner.holders(self.model, self.version));
-        let me = self.score(self.drawing.addr) as usize;
+        let me = self.score(self.context.addr) as usize;
         let start = me % near.len().max(1);
         near.rotate_left(start);
         near.truncate(NEAR_ASKED);
@@ -104,10 +104,10 @@
     }
 
     async fn of_origin(&self) -> Result<VersionManifest, Error> {
-        let addr = self.drawing.origin_addr()?;
-        let origin = &self.drawing.origin;
+        let addr = self.context.origin_addr()?;
+        let origin = &self.context.origin;
         let answer = origin.manifest(addr, self.model, self.version).await;
-        answer.inspect_err(|_| self.owner.origin_failed())
+        answer.inspect_err(|_| self.owner.record_origin_failure())
     }
 
     async fn of(
@@ -115,7 +115,7 @@
         addr: SocketAddr,
         hold: Duration,
     ) -> Result<VersionManifest, Error> {
-        let client = &self.drawing.client;
+        let client = &self.context.client;
         let idle = self.owner.idle();
         let (model, version) = (self.model, self.version);
         ask_manifest(client, addr, model, version, hold, idle).await
@@ -124,7 +124,7 @@
     /// Returns all who draw the version in rank order for its manifest, with
     /// the place of this process.
     fn ranked(&self) -> (Vec<SocketAddr>, usize) {
-        let me = self.drawing.addr;
+        let me = self.context.addr;
         let mut scored = vec![(self.score(me), me)];
         for (_, addr) in self.owner.peers() {
             scored.push((self.score(addr), addr));
@@ -143,7 +143,7 @@
 
     fn check(&self, found: VersionManifest) -> Result<VersionManifest, Error> {
         let (model, version) = (self.model, self.version);
-        let view = self.drawing.facts.view();
+        let view = self.context.facts.view();
         let routes = view.routes.as_ref();
         let chunks =
             routes.and_then(|r| r.engine_for_model(model)).map(|e| e.chunks);
--- a/crates/chunks/src/holdings.rs
+++ b/crates/chunks/src/holdings.rs
@@ -15,9 +15,9 @@
 
 /// Where a chunk's bytes are.
 #[derive(Clone, Debug)]
-pub enum Held {
+pub enum ChunkLocation {
     /// In memory.
-    Bytes(Bytes),
+    Memory(Bytes),
     /// Staged at the engine, as this chunk of this model.
     Staged(Arc<str>, u32),
 }
@@ -25,7 +25,7 @@
 #[derive(Debug, Default)]
 struct Inner {
     manifests: Vec<Arc<VersionManifest>>,
-    held: HashMap<Digest, Held>,
+    held: HashMap<Digest, ChunkLocation>,
 }
 
 /// The chunks held; shared by fetching and serving.
@@ -40,7 +40,7 @@
     const MOST_MANIFESTS: usize = 3;
 
     /// Remembers a manifest.
-    pub fn remember(&self, manifest: &Arc<VersionManifest>) {
+    pub fn add_manifest(&self, manifest: &Arc<VersionManifest>) {
         let mut inner = self.lock();
         inner.manifests.retain(|m| {
             m.version != manifest.version || m.model != manifest.model
@@ -71,7 +71,7 @@
     }
 
     /// Forgets the manifest of a version.
-    pub fn forget(&self, model: &str, version: u64) {
+    pub fn remove_manifest(&self, model: &str, version: u64) {
         self.lock()
             .manifests
             .retain(|m| &*m.model != model || m.version != version);
@@ -79,7 +79,7 @@
 
     /// Drops the manifest of a version, with the chunks that no other
     /// version has.
-    pub fn drop_version(&self, model: &str, version: u64) {
+    pub fn remove_version(&self, model: &str, version: u64) {
         let mut inner = self.lock();
         let of_version = |m: &Arc<VersionManifest>| {
             &*m.model == model && m.version == version
@@ -98,18 +98,18 @@
     }
 
     /// Takes in a verified chunk.
-    pub fn keep(&self, digest: Digest, held: Held) {
+    pub fn insert_chunk(&self, digest: Digest, held: ChunkLocation) {
         self.lock().held.insert(digest, held);
         self.arrived.notify_waiters();
     }
 
     /// Drops a chunk that has turned bad.
-    pub fn drop_chunk(&self, digest: &Digest) {
+    pub fn remove_chunk(&self, digest: &Digest) {
         self.lock().held.remove(digest);
     }
 
     /// Returns where a chunk is, if it is held.
-    pub fn get(&self, digest: &Digest) -> Option<Held> {
+    pub fn get(&self, digest: &Digest) -> Option<ChunkLocation> {
         self.lock().held.get(digest).cloned()
     }
 
@@ -128,27 +128,27 @@
     /// Returns a chunk's bytes if they are in memory.
     pub fn bytes(&self, digest: &Digest) -> Option<Bytes> {
         match self.lock().held.get(digest) {
-            Some(Held::Bytes(bytes)) => Some(bytes.clone()),
+            Some(ChunkLocation::Memory(bytes)) => Some(bytes.clone()),
             _ => None,
         }
     }
 
     /// Leaves the bytes of a version to the engine, where they lie staged.
     /// Chunks of other versions stay as they are.
-    pub fn settle(&self, manifest: &VersionManifest) {
+    pub fn mark_staged(&self, manifest: &VersionManifest) {
         let mut inner = self.lock();
         for (i, digest) in manifest.digests.iter().enumerate() {
             let Some(held) = inner.held.get_mut(digest) else { continue };
             let model = Arc::clone(&manifest.model);
-            *held = Held::Staged(model, i as u32);
+            *held = ChunkLocation::Staged(model, i as u32);
         }
     }
 
     /// Forgets the chunks of a version that only lie at the engine.
-    pub fn forget_staged(&self, manifest: &VersionManifest) {
+    pub fn remove_staged(&self, manifest: &VersionManifest) {
         let mut inner = self.lock();
         for digest in &manifest.digests {
-            if let Some(Held::Staged(..)) = inner.held.get(digest) {
+            if let Some(ChunkLocation::Staged(..)) = inner.held.get(digest) {
                 inner.held.remove(digest);
             }
         }
@@ -159,15 +159,15 @@
         let inner = self.lock();
         let mut held = inner.held.iter();
         let found = held.find(|(_, held)| match held {
-            Held::Staged(m, i) => **m == *model && *i == index,
-            Held::Bytes(_) => false,
+            ChunkLocation::Staged(m, i) => **m == *model && *i == index,
+            ChunkLocation::Memory(_) => false,
         });
         found.map(|(digest, _)| *digest)
     }
 
     /// Drops all versions of a model before one, with the chunks that no
     /// other version has.
-    pub fn drop_before(&self, model: &str, version: u64) {
+    pub fn remove_versions_before(&self, model: &str, version: u64) {
         let older: Vec<u64> = {
             let inner = self.lock();
             let of_model =
@@ -176,7 +176,7 @@
             versions.filter(|v| *v < version).collect()
         };
         for version in older {
-            self.drop_version(model, version);
+            self.remove_version(model, version);
         }
     }
 
--- a/crates/chunks/src/holdings_tests.rs
+++ b/crates/chunks/src/holdings_tests.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use stairhinge::Digest;
 
-use super::{Held, Holdings};
+use super::{ChunkLocation, Holdings};
 use crate::manifest::VersionManifest;
 
 fn manifest(version: u64, chunks: u64) -> Arc<VersionManifest> {
@@ -19,9 +19,12 @@
 }
 
 fn hold_all(holdings: &Holdings, manifest: &Arc<VersionManifest>) {
-    holdings.remember(manifest);
+    holdings.add_manifest(manifest);
     for digest in &manifest.digests {
-        holdings.keep(*digest, Held::Bytes(Bytes::from_static(b"x")));
+        holdings.insert_chunk(
+            *digest,
+            ChunkLocation::Memory(Bytes::from_static(b"x")),
+        );
     }
 }
 
@@ -31,7 +34,7 @@
     let (first, second) = (manifest(1, 4), manifest(2, 4));
     hold_all(&holdings, &first);
     hold_all(&holdings, &second);
-    holdings.settle(&first);
+    holdings.mark_staged(&first);
     for digest in &second.digests {
         assert!(holdings.bytes(digest).is_some(), "version 2 was dropped");
     }
@@ -47,7 +50,7 @@
     let first = manifest(1, 4);
     hold_all(&holdings, &first);
     for version in 2..6 {
-        holdings.remember(&manifest(version, 4));
+        holdings.add_manifest(&manifest(version, 4));
     }
     assert!(!holdings.holds(&first.digests[0]));
 }
--- a/crates/chunks/src/lib.rs
+++ b/crates/chunks/src/lib.rs
@@ -7,22 +7,26 @@
 //! [`Holdings`] and answer the questions of others ([`ChunkServer`]). What
 //! differs between them is behind [`ChunkOwner`].
 
-mod answer;
 mod cache;
-mod draw;
 mod fetch;
 mod find_manifest;
 mod holdings;
 mod manifest;
 mod owner;
 mod peers;
+mod server;
 mod sources;
+mod transfer;
 
-pub use self::answer::ChunkServer;
-pub use self::cache::{CacheSite, ChunkCache};
+pub use self::cache::{CachePeers, ChunkCache};
 pub use self::fetch::fetch;
 pub use self::find_manifest::find_manifest;
-pub use self::holdings::{Held, Holdings};
+pub use self::holdings::{ChunkLocation, Holdings};
 pub use self::manifest::{VersionManifest, WeightOrigin};
-pub use self::owner::{ChunkOwner, ChunkStage, Drawing, Peer, log_failure};
-pub use self::peers::{Question, STALL, Standing, standing};
+pub use self::owner::{
+    ChunkOwner, ChunkStage, FetchContext, Peer, log_failure,
+};
+pub use self::peers::{
+    AnyChunkRequest, CacheStatus, STALL_TIMEOUT, cache_status,
+};
+pub use self::server::ChunkServer;
--- a/crates/chunks/src/owner.rs
+++ b/crates/chunks/src/owner.rs
@@ -17,7 +17,7 @@
 
 /// What one process draws chunks with.
 #[derive(Clone)]
-pub struct Drawing {
+pub struct FetchContext {
     /// What it believes, with its clock and its log.
     pub facts: Arc<Facts>,
     /// The chunks that are here.
@@ -32,7 +32,7 @@
     pub hall: Arc<str>,
 }
 
-impl Drawing {
+impl FetchContext {
     /// Returns where the origin of weights is published to be.
     ///
     /// # Errors
@@ -53,7 +53,7 @@
 /// One who draws chunks.
 pub trait ChunkOwner: Send + Sync {
     /// Returns the other processes of its kind with their data halls, which
-    /// share the work of drawing.
+    /// share the work of context.
     fn peers(&self) -> Vec<Peer>;
 
     /// Returns the processes of its hall that hold chunks for it, and are
@@ -66,15 +66,15 @@
 
     /// Returns the processes of its hall that may hold some of a version from
     /// before the draw began.
-    fn part_holders(&self) -> Vec<SocketAddr> {
+    fn partial_holders(&self) -> Vec<SocketAddr> {
         Vec::new()
     }
 
     /// Returns how long the origin's link is taken to be busy with a chunk.
-    fn origin_pace(&self, chunk_bytes: u32) -> Duration;
+    fn origin_interval(&self, chunk_bytes: u32) -> Duration;
 
     /// Returns how many of `most` questions the link bears at a time.
-    fn questions(&self, most: usize) -> usize;
+    fn max_requests(&self, most: usize) -> usize;
 
     /// Returns the pace of the fetch, or `None` if it should be as fast as
     /// the link bears.
@@ -83,7 +83,7 @@
     }
 
     /// Takes in a verified chunk that was kept.
-    fn kept<'a>(
+    fn store_chunk<'a>(
         &'a self,
         manifest: &'a VersionManifest,
         index: u32,
@@ -91,7 +91,7 @@
     ) -> BoxFuture<'a, ()>;
 
     /// Takes note that a chunk came.
-    fn moved(&self, source: &Source) {
+    fn record_progress(&self, source: &Source) {
         let _ = source;
     }
 
@@ -101,14 +101,14 @@
     }
 
     /// Takes note that the origin failed.
-    fn origin_failed(&self) {}
+    fn record_origin_failure(&self) {}
 
     /// Reads the list of peers again, beside the fetch.
-    fn relist(&self) {}
+    fn refresh_peers(&self) {}
 
     /// Returns the part of the link that questions and what is sent may
     /// take, for the log.
-    fn link_parts(&self) -> (f64, f64) {
+    fn link_shares(&self) -> (f64, f64) {
         (1.0, 1.0)
     }
 }
--- a/crates/chunks/src/peers.rs
+++ b/crates/chunks/src/peers.rs
@@ -35,14 +35,14 @@
 const STANDING_TIME: Duration = Duration::from_millis(300);
 
 /// The longest silence within a transfer.
-pub const STALL: Duration = Duration::from_millis(1_500);
+pub const STALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// The largest manifest, in bytes.
 const MOST_MANIFEST: usize = 2 << 20;
 
 /// A question for any of some chunks of a version.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Question {
+pub struct AnyChunkRequest {
     /// The model.
     pub model: Arc<str>,
     /// The version.
@@ -64,7 +64,7 @@
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize,
 )]
-pub struct Standing {
+pub struct CacheStatus {
     /// Chunks that it holds.
     pub held: usize,
     /// Chunks of the version; 0 while that is not known.
@@ -93,7 +93,7 @@
 pub(crate) async fn ask(
     client: &Client,
     addr: SocketAddr,
-    question: &Question,
+    question: &AnyChunkRequest,
 ) -> Result<PeerAnswer, Error> {
     let json = serde_json::to_vec(question)
         .map_err(|e| Error::new(Code::Internal, e))?;
@@ -101,7 +101,7 @@
         .header(CONTENT_TYPE, "application/json")
         .body(full(json))
         .map_err(|e| Error::new(Code::Internal, e))?;
-    let within = STALL + Duration::from_millis(question.hold_ms);
+    let within = STALL_TIMEOUT + Duration::from_millis(question.hold_ms);
     let response = client
         .send(addr, request, within)
         .await
@@ -130,13 +130,13 @@
 /// # Errors
 ///
 /// [`Code::NoSource`] if it does not answer.
-pub async fn standing(
+pub async fn cache_status(
     client: &Client,
     cache: SocketAddr,
     model: &str,
     version: u64,
     draw: bool,
-) -> Result<Standing, Error> {
+) -> Result<CacheStatus, Error> {
     let query = if draw { DRAW } else { "" };
     let path = format!("{STANDING}{model}/{version}?{query}");
     let got = client.get(cache, &path, MOST_STANDING, STANDING_TIME);
@@ -165,7 +165,7 @@
     let (ms, idle) = (hold.as_millis(), idle.as_millis());
     let path =
         format!("{MANIFEST}{model}/{version}?hold_ms={ms}&idle_ms={idle}");
-    let within = STALL + hold;
+    let within = STALL_TIMEOUT + hold;
     let (status, _, bytes) =
         client.get(addr, &path, MOST_MANIFEST, within).await?;
     if status != 200 {
@@ -184,9 +184,9 @@
 async fn whole(mut body: Incoming) -> Result<Bytes, Error> {
     let mut bytes = BytesMut::new();
     loop {
-        let frame = tokio::time::timeout(STALL, body.frame()).await;
+        let frame = tokio::time::timeout(STALL_TIMEOUT, body.frame()).await;
         let frame = frame.map_err(|_| {
-            let ms = STALL.as_millis();
+            let ms = STALL_TIMEOUT.as_millis();
             Error::new(Code::Stalled, format!("no byte for {ms} ms"))
         })?;
         let Some(frame) = frame else { return Ok(bytes.freeze()) };
--- a/crates/chunks/src/answer.rs
+++ b/crates/chunks/src/server.rs
@@ -12,9 +12,9 @@
 use stairhinge_shell::http::{Body, answer, empty, headers, in_turn, read};
 use tokio::time::Instant;
 
-use crate::holdings::{Held, Holdings};
+use crate::holdings::{ChunkLocation, Holdings};
 use crate::owner::ChunkStage;
-use crate::peers::{MANIFEST, Question};
+use crate::peers::{AnyChunkRequest, MANIFEST};
 
 /// The largest question, in bytes.
 const MOST_QUESTION: usize = 64 << 10;
@@ -50,9 +50,9 @@
     /// # Errors
     ///
     /// [`Code::MalformedJson`], or that of a body that is not whole.
-    pub async fn question(
+    pub async fn read_request(
         request: Request<Incoming>,
-    ) -> Result<Question, Error> {
+    ) -> Result<AnyChunkRequest, Error> {
         let body = request.into_body();
         let bytes = read(body, MOST_QUESTION, QUESTION_TIME).await?;
         serde_json::from_slice(&bytes)
@@ -71,7 +71,7 @@
     /// # Errors
     ///
     /// [`Code::NoSource`] if it does not come.
-    pub async fn manifest(
+    pub async fn answer_manifest(
         &self,
         model: &str,
         version: u64,
@@ -99,9 +99,9 @@
     /// # Errors
     ///
     /// [`Code::Internal`] if the answer cannot be made.
-    pub async fn any(
+    pub async fn answer_any(
         &self,
-        question: &Question,
+        question: &AnyChunkRequest,
     ) -> Result<Response<Body>, Error> {
         let hold = Duration::from_millis(question.hold_ms).min(MOST_HOLD);
         let until = Instant::now() + hold;
@@ -135,7 +135,7 @@
     }
 
     /// Waits until any wanted chunk is held, or the time is over.
-    async fn until_held(&self, question: &Question, until: Instant) {
+    async fn until_held(&self, question: &AnyChunkRequest, until: Instant) {
         loop {
             let arrived = self.holdings.arrived();
             if self.holds_any(question) {
@@ -150,7 +150,7 @@
     /// Returns the first wanted chunk that is held, waiting for one.
     async fn first_until(
         &self,
-        question: &Question,
+        question: &AnyChunkRequest,
         until: Instant,
     ) -> Option<(u32, Bytes)> {
         loop {
@@ -164,7 +164,7 @@
     }
 
     /// Returns whether any wanted chunk is held.
-    fn holds_any(&self, question: &Question) -> bool {
+    fn holds_any(&self, question: &AnyChunkRequest) -> bool {
         let known = self.holdings.manifest(&question.model, question.version);
         let Some(manifest) = known else { return false };
         let digests = question.want.iter();
@@ -174,20 +174,22 @@
     }
 
     /// Returns the first wanted chunk that is held and still good.
-    async fn first(&self, question: &Question) -> Option<(u32, Bytes)> {
+    async fn first(&self, question: &AnyChunkRequest) -> Option<(u32, Bytes)> {
         let manifest =
             self.holdings.manifest(&question.model, question.version)?;
         for place in &question.want {
             let digest = manifest.digests.get(*place as usize)?;
             let (model, index) = match self.holdings.get(digest) {
                 None => continue,
-                Some(Held::Bytes(bytes)) => return Some((*place, bytes)),
-                Some(Held::Staged(model, index)) => (model, index),
+                Some(ChunkLocation::Memory(bytes)) => {
+                    return Some((*place, bytes));
+                }
+                Some(ChunkLocation::Staged(model, index)) => (model, index),
             };
             if let Some(bytes) = self.staged(&model, index, digest).await {
                 return Some((*place, bytes));
             }
-            self.holdings.drop_chunk(digest);
+            self.holdings.remove_chunk(digest);
         }
         None
     }
@@ -204,7 +206,7 @@
     }
 
     /// Returns a bit for each chunk of the version asked about.
-    fn held(&self, question: &Question) -> String {
+    fn held(&self, question: &AnyChunkRequest) -> String {
         let known = self.holdings.manifest(&question.model, question.version);
         let mut bits = String::new();
         for digest in known.iter().flat_map(|m| &m.digests) {
--- a/crates/chunks/src/sources.rs
+++ b/crates/chunks/src/sources.rs
@@ -10,7 +10,7 @@
 };
 
 use crate::manifest::VersionManifest;
-use crate::owner::{ChunkOwner, Drawing, Peer};
+use crate::owner::{ChunkOwner, FetchContext, Peer};
 
 /// How many draws on the origin a fetch makes before peers are asked.
 const ORIGIN_COPIES: u32 = 1;
@@ -34,7 +34,7 @@
     peers: Vec<Peer>,
     caches: Vec<SocketAddr>,
     holders: Vec<SocketAddr>,
-    part_holders: Vec<SocketAddr>,
+    partial_holders: Vec<SocketAddr>,
 }
 
 impl Sources {
@@ -47,14 +47,15 @@
             peers: owner.peers(),
             caches: owner.caches(),
             holders: owner.holders(&manifest.model, manifest.version),
-            part_holders: owner.part_holders(),
+            partial_holders: owner.partial_holders(),
         }
     }
 
     /// Returns how many there are, with the origin.
     pub(crate) fn count(&self) -> usize {
-        let near =
-            self.caches.len() + self.holders.len() + self.part_holders.len();
+        let near = self.caches.len()
+            + self.holders.len()
+            + self.partial_holders.len();
         (self.peers.len() + near).max(1) + 1
     }
 
@@ -66,10 +67,10 @@
     /// Returns the ranks of all of them for a version.
     pub(crate) fn walk(
         &self,
-        drawing: &Drawing,
+        context: &FetchContext,
         manifest: &VersionManifest,
     ) -> SourceRanking {
-        let me: Arc<str> = Arc::from(drawing.addr.to_string());
+        let me: Arc<str> = Arc::from(context.addr.to_string());
         let mut halls: Vec<(Arc<str>, Vec<Arc<str>>)> = Vec::new();
         for (hall, addr) in &self.peers {
             let name = Arc::from(addr.to_string());
@@ -79,7 +80,7 @@
             }
         }
         let subject = subject(manifest);
-        let hall = &drawing.hall;
+        let hall = &context.hall;
         SourceRanking::new(
             subject.as_bytes(),
             &halls,
@@ -90,13 +91,13 @@
         .with_fanout(FANOUT)
         .with_caches(names(&self.caches))
         .with_holders(names(&self.holders))
-        .with_partial_holders(names(&self.part_holders))
+        .with_partial_holders(names(&self.partial_holders))
     }
 
     /// Returns a puller of what is missing of a version.
     pub(crate) fn puller(
         &self,
-        drawing: &Drawing,
+        context: &FetchContext,
         owner: &dyn ChunkOwner,
         manifest: &VersionManifest,
     ) -> Puller {
@@ -104,7 +105,7 @@
         for digest in &manifest.digests {
             chunks.push(Chunk::with_digest(*digest, manifest.chunk_bytes));
         }
-        let me = drawing.addr.to_string();
+        let me = context.addr.to_string();
         let turn = rank::score(subject(manifest).as_bytes(), &me) as usize;
         let turn = turn % chunks.len().max(1);
         let patience = FetchTimeouts::new()
@@ -112,9 +113,9 @@
             .with_not_yet_limit(NEVER)
             .with_suspicion(Duration::from_millis(2_000))
             .with_takeover(TAKEOVER)
-            .with_origin_interval(owner.origin_pace(manifest.chunk_bytes));
-        let walk = self.walk(drawing, manifest);
-        let holdings = &drawing.holdings;
+            .with_origin_interval(owner.origin_interval(manifest.chunk_bytes));
+        let walk = self.walk(context, manifest);
+        let holdings = &context.holdings;
         Puller::new(walk, &chunks, patience, turn, |d| holdings.holds(d))
     }
 }
--- a/crates/chunks/src/draw.rs
+++ b/crates/chunks/src/transfer.rs
@@ -6,44 +6,44 @@
 use stairhinge::weights::{ChunkRequest, Puller, Source};
 use stairhinge::{Code, Digest, Error};
 
-use crate::holdings::Held;
+use crate::holdings::ChunkLocation;
 use crate::manifest::VersionManifest;
-use crate::owner::{ChunkOwner, Drawing};
-use crate::peers::{PeerAnswer, Question, ask};
+use crate::owner::{ChunkOwner, FetchContext};
+use crate::peers::{AnyChunkRequest, PeerAnswer, ask};
 
 /// Puts one question to its source.
-pub(crate) async fn put(
-    drawing: &Drawing,
+pub(crate) async fn send_request(
+    context: &FetchContext,
     owner: &dyn ChunkOwner,
     manifest: &VersionManifest,
     question: ChunkRequest,
 ) -> (Source, Result<PeerAnswer, Error>) {
     let source = question.source().clone();
     let answer = match &source {
-        Source::Origin => from_origin(drawing, manifest, &question).await,
+        Source::Origin => from_origin(context, manifest, &question).await,
         Source::Near(name) | Source::Far(name) => {
-            from_peer(drawing, owner, manifest, name, &question).await
+            from_peer(context, owner, manifest, name, &question).await
         }
     };
     (source, answer)
 }
 
 async fn from_origin(
-    drawing: &Drawing,
+    context: &FetchContext,
     manifest: &VersionManifest,
     question: &ChunkRequest,
 ) -> Result<PeerAnswer, Error> {
     let nothing = || Error::new(Code::Internal, "nothing was wanted");
-    let addr = drawing.origin_addr()?;
+    let addr = context.origin_addr()?;
     let digest = *question.want().first().ok_or_else(nothing)?;
     let index = manifest.index(&digest).ok_or_else(nothing)?;
     let (model, version) = (&manifest.model, manifest.version);
-    let bytes = drawing.origin.chunk(addr, model, version, index).await?;
+    let bytes = context.origin.chunk(addr, model, version, index).await?;
     Ok(PeerAnswer { chunk: Some((index, bytes)), held: Vec::new() })
 }
 
 async fn from_peer(
-    drawing: &Drawing,
+    context: &FetchContext,
     owner: &dyn ChunkOwner,
     manifest: &VersionManifest,
     name: &str,
@@ -55,7 +55,7 @@
     for digest in question.want() {
         want.extend(manifest.index(digest));
     }
-    let question = Question {
+    let question = AnyChunkRequest {
         want,
         tell: question.is_holdings_only(),
         hold_ms: question.hold().as_millis() as u64,
@@ -63,12 +63,12 @@
         version: manifest.version,
         idle_ms: owner.idle().as_millis() as u64,
     };
-    ask(&drawing.client, addr, &question).await
+    ask(&context.client, addr, &question).await
 }
 
 /// Takes an answer in; returns whether it brought a chunk.
-pub(crate) async fn take(
-    drawing: &Drawing,
+pub(crate) async fn handle_response(
+    context: &FetchContext,
     owner: &dyn ChunkOwner,
     manifest: &VersionManifest,
     puller: &mut Puller,
@@ -78,7 +78,7 @@
     let answer = answer?;
     puller.record_holdings(source, answer.held.into_iter());
     let Some((place, bytes)) = answer.chunk else {
-        puller.record_not_yet(source, drawing.facts.now());
+        puller.record_not_yet(source, context.facts.now());
         return Ok(false);
     };
     let nothing = || Error::new(Code::Internal, "no such chunk");
@@ -87,23 +87,25 @@
         let why = format!("not the bytes of {digest}");
         return Err(Error::new(Code::CorruptChunk, why));
     }
-    keep(drawing, owner, manifest, digest, bytes).await;
+    store_chunk(context, owner, manifest, digest, bytes).await;
     puller.record_chunk(source, &digest);
     Ok(true)
 }
 
 /// Keeps a verified chunk for others, and hands it to the owner.
-async fn keep(
-    drawing: &Drawing,
+async fn store_chunk(
+    context: &FetchContext,
     owner: &dyn ChunkOwner,
     manifest: &VersionManifest,
     digest: Digest,
     bytes: Bytes,
 ) {
-    drawing.holdings.keep(digest, Held::Bytes(bytes.clone()));
+    context
+        .holdings
+        .insert_chunk(digest, ChunkLocation::Memory(bytes.clone()));
     for (i, named) in manifest.digests.iter().enumerate() {
         if *named == digest {
-            owner.kept(manifest, i as u32, bytes.clone()).await;
+            owner.store_chunk(manifest, i as u32, bytes.clone()).await;
         }
     }
 }
--- a/crates/gateway/src/cache_site.rs
+++ b/crates/gateway/src/cache_site.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use stairhinge::direct::HallEntry;
-use stairhinge_chunks::CacheSite;
+use stairhinge_chunks::CachePeers;
 
 use crate::dispatch::Dispatcher;
 
@@ -14,7 +14,7 @@
     pub agent_port: u16,
 }
 
-impl CacheSite for FeedSite {
+impl CachePeers for FeedSite {
     fn entries(&self) -> Vec<HallEntry> {
         self.dispatcher.entries().to_vec()
     }
--- a/crates/gateway/src/entry.rs
+++ b/crates/gateway/src/entry.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use stairhinge::{Code, Error};
-use stairhinge_chunks::{ChunkCache, Drawing, WeightOrigin};
+use stairhinge_chunks::{ChunkCache, FetchContext, WeightOrigin};
 use stairhinge_shell::decisions::{Decision, DecisionLog};
 use stairhinge_shell::directory::{
     Collection, CountedDirectory, Directory, Facts, Follow, HallReader, Share,
@@ -234,7 +234,7 @@
     dispatcher: &Arc<Dispatcher>,
     origin: Arc<dyn WeightOrigin>,
 ) -> Arc<ChunkCache> {
-    let drawing = Drawing {
+    let drawing = FetchContext {
         facts: Arc::clone(dispatcher.facts()),
         holdings: Arc::default(),
         client: Client::new(),
--- a/crates/loader/src/agent.rs
+++ b/crates/loader/src/agent.rs
@@ -9,7 +9,7 @@
 use stairhinge::weights::LinkShare;
 use stairhinge::{Code, Error, Time};
 use stairhinge_chunks::{
-    ChunkServer, ChunkStage, Drawing, Holdings, WeightOrigin,
+    ChunkServer, ChunkStage, FetchContext, Holdings, WeightOrigin,
 };
 use stairhinge_gateway::EngineReport;
 use stairhinge_shell::decisions::{Decision, DecisionLog};
@@ -59,7 +59,7 @@
     pub holdings: Arc<Holdings>,
     pub client: Client,
     /// What it draws chunks with.
-    pub drawing: Drawing,
+    pub drawing: FetchContext,
     /// What chunks may take of the instance's link.
     pub uplink: Shaper,
     /// The part of the link that chunks may take now.
@@ -242,7 +242,7 @@
         tokio::spawn(live.clone().follow(watch, log.clone()));
     }
     let uplink = Shaper::new(settings.chunk_rate());
-    let drawing = Drawing {
+    let drawing = FetchContext {
         facts: Arc::clone(&facts),
         holdings: Arc::default(),
         client,
--- a/crates/loader/src/drive.rs
+++ b/crates/loader/src/drive.rs
@@ -181,7 +181,7 @@
     if peers(agent).is_empty() {
         list_peers(agent).await;
     } else {
-        owner.relist();
+        owner.refresh_peers();
     }
     let drawing = &agent.drawing;
     let manifest =
@@ -194,7 +194,7 @@
         never = take_out_in_time(agent, &manifest, &turn) => match never {},
     };
     if let Err(error) = fetched {
-        agent.holdings.forget(&wanted.model, wanted.version);
+        agent.holdings.remove_manifest(&wanted.model, wanted.version);
         return Err(error);
     }
     // One that has paused already has finished its work meanwhile.
@@ -209,8 +209,8 @@
             == Some(manifest.version)
         {
             let version = manifest.version;
-            settled.holdings.settle(&manifest);
-            settled.holdings.drop_before(&manifest.model, version);
+            settled.holdings.mark_staged(&manifest);
+            settled.holdings.remove_versions_before(&manifest.model, version);
         }
     });
     Ok(())
--- a/crates/loader/src/fetch_owner.rs
+++ b/crates/loader/src/fetch_owner.rs
@@ -50,12 +50,12 @@
         Vec::new()
     }
 
-    fn origin_pace(&self, chunk_bytes: u32) -> Duration {
+    fn origin_interval(&self, chunk_bytes: u32) -> Duration {
         let transfer = self.agent.live.get().transfer(chunk_bytes);
         transfer.mul_f64(ORIGIN_AHEAD)
     }
 
-    fn questions(&self, most: usize) -> usize {
+    fn max_requests(&self, most: usize) -> usize {
         self.agent.link_share().max_requests(most)
     }
 
@@ -63,7 +63,7 @@
         self.pace
     }
 
-    fn kept<'a>(
+    fn store_chunk<'a>(
         &'a self,
         manifest: &'a VersionManifest,
         index: u32,
@@ -74,20 +74,20 @@
         })
     }
 
-    fn moved(&self, _: &Source) {
+    fn record_progress(&self, _: &Source) {
         self.agent.note_moved();
     }
 
-    fn origin_failed(&self) {
+    fn record_origin_failure(&self) {
         self.agent.doubt_origin();
     }
 
-    fn relist(&self) {
+    fn refresh_peers(&self) {
         let relist = self.relist.lock();
         relist.unwrap_or_else(PoisonError::into_inner).start(&self.agent);
     }
 
-    fn link_parts(&self) -> (f64, f64) {
+    fn link_shares(&self) -> (f64, f64) {
         let share = *self.agent.link_share();
         (share.download(), share.upload())
     }
--- a/crates/loader/src/first_report.rs
+++ b/crates/loader/src/first_report.rs
@@ -5,7 +5,7 @@
 use http_body_util::BodyExt as _;
 use hyper::Request;
 use stairhinge::{Code, Error};
-use stairhinge_chunks::STALL;
+use stairhinge_chunks::STALL_TIMEOUT;
 use stairhinge_gateway::EngineReport;
 use stairhinge_shell::http::{Client, empty};
 
@@ -20,10 +20,12 @@
 ) -> Result<EngineReport, Error> {
     let lost = |why: &dyn std::fmt::Display| Error::new(Code::NoSource, why);
     let request = Request::get("/feed").body(empty()).map_err(|e| lost(&e))?;
-    let response =
-        client.send(addr, request, STALL).await.map_err(|e| lost(&e))?;
+    let response = client
+        .send(addr, request, STALL_TIMEOUT)
+        .await
+        .map_err(|e| lost(&e))?;
     let mut body = response.into_body();
-    let frame = tokio::time::timeout(STALL, body.frame()).await;
+    let frame = tokio::time::timeout(STALL_TIMEOUT, body.frame()).await;
     let frame = frame.map_err(|e| lost(&e))?;
     let frame = frame.ok_or_else(|| lost(&"no line"))?;
     let data = frame.map_err(|e| lost(&e))?.into_data().unwrap_or_default();
--- a/crates/loader/src/serve.rs
+++ b/crates/loader/src/serve.rs
@@ -68,7 +68,7 @@
         }
         if let Some((model, version)) = ChunkServer::manifest_path(&path) {
             let query = request.uri().query().unwrap_or_default();
-            return self.chunks.manifest(model, version, query).await;
+            return self.chunks.answer_manifest(model, version, query).await;
         }
         Err(Error::new(Code::UnknownPath, path))
     }
@@ -78,13 +78,13 @@
         &self,
         request: Request<Incoming>,
     ) -> Result<Response<Body>, Error> {
-        let question = ChunkServer::question(request).await?;
+        let question = ChunkServer::read_request(request).await?;
         let share = *self.agent.link_share();
         if share.is_poor() {
             let why = format!("chunks may take {:.2} of it", share.upload());
             return Err(Error::new(Code::PoorLink, why));
         }
-        let response = self.chunks.any(&question).await?;
+        let response = self.chunks.answer_any(&question).await?;
         if response.status() == StatusCode::OK {
             self.agent.note_moved();
         }
--- a/crates/loader/src/staging.rs
+++ b/crates/loader/src/staging.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use stairhinge::{Code, Digest, Error};
-use stairhinge_chunks::{Held, VersionManifest, find_manifest};
+use stairhinge_chunks::{ChunkLocation, VersionManifest, find_manifest};
 
 use crate::agent::Agent;
 use crate::fetch_owner::FetchOwner;
@@ -31,13 +31,15 @@
         }
         // Verified when it is read for a peer.
         let model = Arc::clone(&wanted.model);
-        agent.holdings.keep(*digest, Held::Staged(model, index));
+        agent
+            .holdings
+            .insert_chunk(*digest, ChunkLocation::Staged(model, index));
     }
 }
 
 /// Takes over good chunks that lie at the engine from before a restart.
 pub(crate) async fn take_staged(agent: &Agent, manifest: &VersionManifest) {
-    agent.holdings.forget_staged(manifest);
+    agent.holdings.remove_staged(manifest);
     let model = &manifest.model;
     let Ok(staged) = agent.engine.staged(model).await else { return };
     for index in staged {
@@ -54,7 +56,7 @@
             // The stage holds another version: the rest will not fit either.
             return;
         }
-        agent.holdings.keep(*digest, Held::Bytes(bytes));
+        agent.holdings.insert_chunk(*digest, ChunkLocation::Memory(bytes));
     }
 }
 
@@ -85,10 +87,10 @@
     let read = agent.engine.read(model, index).await;
     match read {
         Ok(bytes) if Digest::sha256(&bytes) == *digest => {
-            agent.holdings.keep(*digest, Held::Bytes(bytes));
+            agent.holdings.insert_chunk(*digest, ChunkLocation::Memory(bytes));
         }
         // Gone or spoilt there: peers are to look elsewhere.
-        Ok(_) | Err(_) => agent.holdings.drop_chunk(digest),
+        Ok(_) | Err(_) => agent.holdings.remove_chunk(digest),
     }
 }
 
@@ -109,7 +111,7 @@
             continue;
         }
         let Some(bytes) = agent.holdings.bytes(digest) else {
-            agent.holdings.drop_chunk(digest);
+            agent.holdings.remove_chunk(digest);
             let why = format!("chunk {index} turned bad at the engine");
             return Err(Error::new(Code::CorruptChunk, why));
         };
--- a/crates/loader/src/succession.rs
+++ b/crates/loader/src/succession.rs
@@ -7,7 +7,7 @@
 use stairhinge::weights::{
     ChunkTransferTimes, VersionCandidate, choose_version,
 };
-use stairhinge_chunks::{Standing, standing};
+use stairhinge_chunks::{CacheStatus, cache_status};
 use stairhinge_shell::directory;
 
 use crate::agent::Agent;
@@ -105,7 +105,7 @@
     if left.is_zero() {
         return None;
     }
-    let asked = standing(&agent.client, cache, model, version, draw).await;
+    let asked = cache_status(&agent.client, cache, model, version, draw).await;
     let near = asked.unwrap_or_default();
     let chunks = agent.engine_kind().map_or(0, |kind| kind.chunks as usize);
     let manifest = agent.holdings.manifest(model, version);
@@ -125,7 +125,7 @@
     })
 }
 
-fn is_stuck(near: &Standing) -> bool {
+fn is_stuck(near: &CacheStatus) -> bool {
     near.origin_lost || u128::from(near.quiet_ms) > QUIET.as_millis()
 }
 
