--- a/crates/chunks/src/holdings.rs
+++ b/crates/chunks/src/holdings.rs
@@ -1,8 +1,8 @@
-//! The chunks that a process can pass on.
+//! The chunks that a process can serve to its peers.
 //!
-//! Each chunk was verified when it came. Its bytes stay in memory while
-//! peers may still want them; afterwards they are read back from the engine
-//! and verified again, since what lies there may turn bad.
+//! Each chunk is verified on arrival. Its bytes stay in memory while peers
+//! are likely to request it; afterwards they are read back from the engine
+//! and verified again, since a staged chunk may get corrupted.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -13,12 +13,12 @@
 
 use crate::manifest::VersionManifest;
 
-/// Where a chunk's bytes are.
+/// Where the bytes of a chunk are stored.
 #[derive(Clone, Debug)]
 pub enum ChunkLocation {
     /// In memory.
     Memory(Bytes),
-    /// Staged at the engine, as this chunk of this model.
+    /// Staged at the engine, under this model and chunk index.
     Staged(Arc<str>, u32),
 }
 
@@ -28,7 +28,8 @@
     held: HashMap<Digest, ChunkLocation>,
 }
 
-/// The chunks held; shared by fetching and serving.
+/// The chunks and manifests that a process holds, shared by the fetch and the
+/// server.
 #[derive(Debug, Default)]
 pub struct Holdings {
     inner: Mutex<Inner>,
@@ -36,16 +37,17 @@
 }
 
 impl Holdings {
-    /// The most manifests that are remembered.
-    const MOST_MANIFESTS: usize = 3;
+    /// The maximum number of manifests kept.
+    const MAX_MANIFESTS: usize = 3;
 
-    /// Remembers a manifest.
+    /// Adds a manifest. Beyond [`Holdings::MAX_MANIFESTS`] the oldest one is
+    /// removed with its chunks.
     pub fn add_manifest(&self, manifest: &Arc<VersionManifest>) {
         let mut inner = self.lock();
         inner.manifests.retain(|m| {
             m.version != manifest.version || m.model != manifest.model
         });
-        if inner.manifests.len() >= Holdings::MOST_MANIFESTS {
+        if inner.manifests.len() >= Holdings::MAX_MANIFESTS {
             let oldest = inner.manifests.remove(0);
             for digest in &oldest.digests {
                 inner.held.remove(digest);
@@ -56,7 +58,7 @@
         self.arrived.notify_waiters();
     }
 
-    /// Returns the manifest of a version, if it is remembered.
+    /// Returns the manifest of a version, if known.
     pub fn manifest(
         &self,
         model: &str,
@@ -70,25 +72,26 @@
         found.map(Arc::clone)
     }
 
-    /// Forgets the manifest of a version.
+    /// Removes the manifest of a version and keeps its chunks.
     pub fn remove_manifest(&self, model: &str, version: u64) {
         self.lock()
             .manifests
             .retain(|m| &*m.model != model || m.version != version);
     }
 
-    /// Drops the manifest of a version, with the chunks that no other
-    /// version has.
+    /// Removes the manifest of a version, with the chunks that no other
+    /// version contains.
     pub fn remove_version(&self, model: &str, version: u64) {
         let mut inner = self.lock();
-        let of_version = |m: &Arc<VersionManifest>| {
+        let is_version = |m: &Arc<VersionManifest>| {
             &*m.model == model && m.version == version
         };
-        let Some(place) = inner.manifests.iter().position(of_version) else {
+        let Some(position) = inner.manifests.iter().position(is_version)
+        else {
             return;
         };
-        let dropped = inner.manifests.remove(place);
-        for digest in &dropped.digests {
+        let removed = inner.manifests.remove(position);
+        for digest in &removed.digests {
             let shared =
                 inner.manifests.iter().any(|m| m.digests.contains(digest));
             if !shared {
@@ -97,18 +100,18 @@
         }
     }
 
-    /// Takes in a verified chunk.
-    pub fn insert_chunk(&self, digest: Digest, held: ChunkLocation) {
-        self.lock().held.insert(digest, held);
+    /// Inserts a verified chunk.
+    pub fn insert_chunk(&self, digest: Digest, location: ChunkLocation) {
+        self.lock().held.insert(digest, location);
         self.arrived.notify_waiters();
     }
 
-    /// Drops a chunk that has turned bad.
+    /// Removes a chunk that is corrupt or cannot be read any more.
     pub fn remove_chunk(&self, digest: &Digest) {
         self.lock().held.remove(digest);
     }
 
-    /// Returns where a chunk is, if it is held.
+    /// Returns the location of a chunk, if it is held.
     pub fn get(&self, digest: &Digest) -> Option<ChunkLocation> {
         self.lock().held.get(digest).cloned()
     }
@@ -118,14 +121,14 @@
         self.lock().held.contains_key(digest)
     }
 
-    /// Returns how many chunks of a version are held.
+    /// Returns how many chunks of a version are held, counting duplicates.
     pub fn count(&self, manifest: &VersionManifest) -> usize {
         let inner = self.lock();
         let digests = manifest.digests.iter();
         digests.filter(|d| inner.held.contains_key(*d)).count()
     }
 
-    /// Returns a chunk's bytes if they are in memory.
+    /// Returns the bytes of a chunk, if they are in memory.
     pub fn bytes(&self, digest: &Digest) -> Option<Bytes> {
         match self.lock().held.get(digest) {
             Some(ChunkLocation::Memory(bytes)) => Some(bytes.clone()),
@@ -133,8 +136,8 @@
         }
     }
 
-    /// Leaves the bytes of a version to the engine, where they lie staged.
-    /// Chunks of other versions stay as they are.
+    /// Frees the bytes of a version's chunks, which are staged at the engine.
+    /// Chunks of other versions are unaffected.
     pub fn mark_staged(&self, manifest: &VersionManifest) {
         let mut inner = self.lock();
         for (i, digest) in manifest.digests.iter().enumerate() {
@@ -144,7 +147,7 @@
         }
     }
 
-    /// Forgets the chunks of a version that only lie at the engine.
+    /// Removes the chunks of a version that are staged at the engine only.
     pub fn remove_staged(&self, manifest: &VersionManifest) {
         let mut inner = self.lock();
         for digest in &manifest.digests {
@@ -154,7 +157,7 @@
         }
     }
 
-    /// Returns the chunk that is held at a place at the engine.
+    /// Returns the digest of the chunk staged at the engine under an index.
     pub fn staged_at(&self, model: &str, index: u32) -> Option<Digest> {
         let inner = self.lock();
         let mut held = inner.held.iter();
@@ -165,22 +168,23 @@
         found.map(|(digest, _)| *digest)
     }
 
-    /// Drops all versions of a model before one, with the chunks that no
-    /// other version has.
+    /// Removes all versions of a model before `version`, with the chunks that
+    /// no other version contains.
     pub fn remove_versions_before(&self, model: &str, version: u64) {
-        let older: Vec<u64> = {
+        let older_versions: Vec<u64> = {
             let inner = self.lock();
             let of_model =
                 inner.manifests.iter().filter(|m| &*m.model == model);
             let versions = of_model.map(|m| m.version);
             versions.filter(|v| *v < version).collect()
         };
-        for version in older {
+        for version in older_versions {
             self.remove_version(model, version);
         }
     }
 
-    /// Returns a future that ends when the next chunk or manifest arrives.
+    /// Returns a future that completes when the next chunk or manifest
+    /// arrives.
     pub fn arrived(&self) -> tokio::sync::futures::Notified<'_> {
         self.arrived.notified()
     }
--- a/crates/chunks/src/holdings_tests.rs
+++ b/crates/chunks/src/holdings_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what an agent can pass on.
+//! Tests of the chunks that a process holds.
 
 use std::sync::Arc;
 
@@ -9,16 +9,16 @@
 use crate::manifest::VersionManifest;
 
 fn manifest(version: u64, chunks: u64) -> Arc<VersionManifest> {
-    let name = |i| Digest::sha256(format!("{version}/{i}").as_bytes());
+    let digest = |i| Digest::sha256(format!("{version}/{i}").as_bytes());
     Arc::new(VersionManifest {
         model: Arc::from("matcher"),
         version,
-        digests: (0..chunks).map(name).collect(),
+        digests: (0..chunks).map(digest).collect(),
         chunk_bytes: 8,
     })
 }
 
-fn hold_all(holdings: &Holdings, manifest: &Arc<VersionManifest>) {
+fn insert_all(holdings: &Holdings, manifest: &Arc<VersionManifest>) {
     holdings.add_manifest(manifest);
     for digest in &manifest.digests {
         holdings.insert_chunk(
@@ -29,26 +29,32 @@
 }
 
 #[test]
-fn settling_a_version_keeps_the_chunks_of_the_next() {
+fn marking_a_version_staged_keeps_the_bytes_of_the_next() {
     let holdings = Holdings::default();
     let (first, second) = (manifest(1, 4), manifest(2, 4));
-    hold_all(&holdings, &first);
-    hold_all(&holdings, &second);
+    insert_all(&holdings, &first);
+    insert_all(&holdings, &second);
     holdings.mark_staged(&first);
     for digest in &second.digests {
-        assert!(holdings.bytes(digest).is_some(), "version 2 was dropped");
+        assert!(
+            holdings.bytes(digest).is_some(),
+            "bytes of version 2 were freed"
+        );
     }
     for digest in &first.digests {
         assert!(holdings.holds(digest));
-        assert!(holdings.bytes(digest).is_none(), "version 1 stays there");
+        assert!(
+            holdings.bytes(digest).is_none(),
+            "bytes of version 1 are in memory"
+        );
     }
 }
 
 #[test]
-fn bytes_of_versions_long_past_are_dropped() {
+fn chunks_of_the_oldest_version_are_removed() {
     let holdings = Holdings::default();
     let first = manifest(1, 4);
-    hold_all(&holdings, &first);
+    insert_all(&holdings, &first);
     for version in 2..6 {
         holdings.add_manifest(&manifest(version, 4));
     }
--- a/crates/chunks/src/lib.rs
+++ b/crates/chunks/src/lib.rs
@@ -1,11 +1,11 @@
-//! Drawing, holding and passing on the chunks of a version.
+//! Fetching, storing and serving the chunks of a version.
 //!
-//! Two kinds of processes do so: the agent beside an engine, which stages
-//! what it draws, and the entry, which holds a version for the agents of its
-//! data hall while they want it ([`ChunkCache`]). Both find the manifest
-//! ([`find_manifest`]), draw what is missing ([`fetch`]), keep it in
-//! [`Holdings`] and answer the questions of others ([`ChunkServer`]). What
-//! differs between them is behind [`ChunkOwner`].
+//! Two kinds of processes do so: the agent of an engine, which stages the
+//! chunks at the engine, and the entry, which caches a version for the agents
+//! of its data hall while they request it ([`ChunkCache`]). Both look up the
+//! manifest ([`find_manifest`]), fetch the missing chunks ([`fetch`]), store
+//! them in [`Holdings`] and serve them to other processes ([`ChunkServer`]).
+//! [`ChunkOwner`] covers the differences between the two.
 
 mod cache;
 mod fetch;
--- a/crates/chunks/src/manifest.rs
+++ b/crates/chunks/src/manifest.rs
@@ -1,4 +1,4 @@
-//! The chunks of one version, and where they come from.
+//! The manifest of a version, and the origin that provides its chunks.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,30 +8,31 @@
 use serde::{Deserialize, Serialize};
 use stairhinge::{Digest, Error};
 
-/// The digests of a version's chunks, in the engine's order.
+/// The digests of a version's chunks, in the order in which the engine reads
+/// them.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct VersionManifest {
     /// The model.
     pub model: Arc<str>,
     /// The version.
     pub version: u64,
-    /// The SHA-256 of each chunk.
+    /// The SHA-256 digest of each chunk.
     pub digests: Vec<Digest>,
-    /// The bytes of each chunk, at most.
+    /// The maximum size of a chunk, in bytes.
     pub chunk_bytes: u32,
 }
 
 impl VersionManifest {
-    /// Returns the place of a chunk.
+    /// Returns the index of the first chunk with this digest.
     pub fn index(&self, digest: &Digest) -> Option<u32> {
         let found = self.digests.iter().position(|d| d == digest);
         found.map(|i| i as u32)
     }
 }
 
-/// The origin of weights.
+/// A client of the origin, which provides all versions of the weights.
 pub trait WeightOrigin: Send + Sync {
-    /// Reads the manifest of a version.
+    /// Requests the manifest of a version from the origin at `addr`.
     fn manifest<'a>(
         &'a self,
         addr: SocketAddr,
@@ -39,7 +40,7 @@
         version: u64,
     ) -> BoxFuture<'a, Result<VersionManifest, Error>>;
 
-    /// Reads a chunk.
+    /// Requests one chunk of a version from the origin at `addr`.
     fn chunk<'a>(
         &'a self,
         addr: SocketAddr,
