--- a/crates/chunks/src/cache.rs
+++ b/crates/chunks/src/cache.rs
@@ -1,9 +1,9 @@
-//! The chunks that an entry holds for the agents of its data hall.
+//! The cache in which an entry holds chunks for the agents of its data hall.
 //!
-//! Agents stand on the narrowest links, and what one of them passes on to
-//! another goes over two of these, beside the answers of its replica. An
-//! entry has a link several times as wide: it draws what agents ask it for,
-//! once for all of them, and holds it as long as they ask.
+//! Agents have the slowest links, and a chunk forwarded from one agent to
+//! another uses two of them, in competition with the answers of the replicas.
+//! The link of an entry is several times as fast: it fetches each requested
+//! version once for all agents, and holds it while they request it.
 
 mod owner;
 
@@ -25,42 +25,46 @@
 use crate::find_manifest::find_manifest;
 use crate::owner::{FetchContext, log_failure};
 use crate::peers::{ANY, CacheStatus, DRAW, STANDING};
-use crate::server::{ChunkServer, span, version_path};
+use crate::server::{ChunkServer, query_duration, version_path};
 
-/// How long a version is drawn on though nobody asks for it: questions wait
-/// for 0.8 s here, so who still wants it asks again sooner.
-const DRAWN_FOR: Duration = Duration::from_millis(1_200);
+/// How long a fetch continues after the last request for the version. The
+/// cache holds requests for up to 0.8 s, so an agent that still wants the
+/// version sends the next one sooner than this.
+const FETCH_IDLE_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// The part of a version from which it is drawn to its end though a newer one
-/// is asked for: what is left takes a fourth of a copy's time, 0.4 s over an
-/// origin's link of 9.9 Mbit/s, and it may bridge an origin that goes away.
-const ALMOST_HELD: f64 = 0.75;
+/// The held fraction of a version from which its fetch is completed although a
+/// newer version is requested. The rest takes a quarter of the time of a copy,
+/// 0.4 s over an origin link of 9.9 Mbit/s, and a complete version can be
+/// served during an origin outage.
+const COMPLETION_THRESHOLD: f64 = 0.75;
 
-/// How long a version waits for an older one of which little is missing.
-const OLDER_FIRST: Duration = Duration::from_millis(500);
+/// The maximum time that a fetch waits for an older version that is almost
+/// complete.
+const OLDER_VERSION_WAIT: Duration = Duration::from_millis(500);
 
-/// How long a version is held though nobody asks for it. Replicas that come
-/// together begin within a second or two of one another.
-const HELD_FOR: Duration = Duration::from_secs(12);
+/// How long a version is held after the last request for it. Replicas that are
+/// started together begin to fetch within one or two seconds of each other.
+const RETENTION: Duration = Duration::from_secs(12);
 
-/// How often versions that nobody asks for are looked for.
-const LOOK: Duration = Duration::from_millis(250);
+/// How often the cache checks whether versions are still requested.
+const REQUEST_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How often a version looks whether the older one that it waits for is here:
-/// about as often as chunks come over an origin's link of 9.9 Mbit/s.
-const LOOK_CLOSELY: Duration = Duration::from_millis(25);
+/// How often a fetch checks whether the older version that it waits for is
+/// complete: about the interval at which chunks arrive over an origin link of
+/// 9.9 Mbit/s.
+const COMPLETION_CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// How long after its naming a version is drawn that agents may hold in part:
-/// all entries learn of it within half of that.
-const LATE: Duration = Duration::from_millis(1_000);
+/// The age of a target from which agents may already hold some of its chunks.
+/// All entries learn of a new target within half of this time.
+const PARTIAL_HOLDERS_AGE: Duration = Duration::from_millis(1_000);
 
-/// The most versions that are held at a time: the one in force, the one that
-/// comes, and one that was named in between.
-const MOST_VERSIONS: usize = 3;
+/// The maximum number of versions held: the current one, the next one, and one
+/// that was the target in between.
+const MAX_VERSIONS: usize = 3;
 
-/// What an entry knows of others that a cache draws from.
+/// The processes from which the cache of an entry can fetch.
 pub trait CachePeers: Send + Sync {
-    /// Returns the entries that hold chunks, of all data halls.
+    /// Returns the entries of all data halls that hold chunks.
     fn entries(&self) -> Vec<HallEntry>;
 
     /// Returns the agents of the own hall whose engines serve a version.
@@ -70,30 +74,30 @@
     fn agents(&self) -> Vec<SocketAddr>;
 }
 
-type Version = (Arc<str>, u64);
+type CacheKey = (Arc<str>, u64);
 
-/// How the draw of a version stands.
+/// The state of a cached version.
 #[derive(Clone, Copy, Debug)]
-struct Draw {
-    /// When an agent last wanted it.
-    asked: Instant,
-    /// When a chunk last came.
-    moved: Instant,
-    /// Whether the origin failed when it was last asked.
+struct CacheEntry {
+    /// When an agent last requested it.
+    last_request: Instant,
+    /// When the last chunk arrived.
+    last_progress: Instant,
+    /// Whether the last request to the origin failed.
     origin_lost: bool,
 }
 
-/// Holds versions for the agents of a data hall.
+/// A cache of versions for the agents of a data hall.
 pub struct ChunkCache {
     context: FetchContext,
     peers: Arc<dyn CachePeers>,
     server: ChunkServer,
-    /// The versions drawn or held.
-    draws: Mutex<HashMap<Version, Draw>>,
+    /// The versions that are fetched or held.
+    versions: Mutex<HashMap<CacheKey, CacheEntry>>,
 }
 
 impl ChunkCache {
-    /// Returns an empty cache that sends over a shaped link.
+    /// Returns an empty cache that sends over a rate-limited link.
     pub fn new(
         context: FetchContext,
         peers: Arc<dyn CachePeers>,
@@ -104,16 +108,17 @@
             server: ChunkServer::new(holdings, None, uplink),
             context,
             peers,
-            draws: Mutex::default(),
+            versions: Mutex::default(),
         })
     }
 
-    /// Answers a question for chunks or a manifest, or `None` if a request
-    /// is neither.
+    /// Answers a request for chunks, a manifest or the state of a version.
+    /// Returns `None` for any other request.
     ///
     /// # Errors
     ///
-    /// [`stairhinge::Code::NoSource`] if a manifest does not come in time.
+    /// [`stairhinge::Code::NoSource`] if a manifest does not arrive in time,
+    /// or the error of reading the request.
     pub async fn answer(
         self: &Arc<Self>,
         request: Request<Incoming>,
@@ -125,31 +130,31 @@
         let query = request.uri().query().unwrap_or_default();
         if let Some((model, version)) = version_path(&path, STANDING) {
             if query == DRAW {
-                self.want(model, version, Duration::ZERO);
+                self.record_request(model, version, Duration::ZERO);
             }
-            return Some(self.standing(model, version));
+            return Some(self.status(model, version));
         }
         let (model, version) = ChunkServer::manifest_path(&path)?;
-        self.want(model, version, span(query, "idle_ms"));
+        self.record_request(model, version, query_duration(query, "idle_ms"));
         Some(self.server.answer_manifest(model, version, query).await)
     }
 
-    fn standing(
+    fn status(
         &self,
         model: &str,
         version: u64,
     ) -> Result<Response<Body>, Error> {
         let holdings = &self.context.holdings;
-        let mut standing = CacheStatus::default();
+        let mut status = CacheStatus::default();
         if let Some(manifest) = holdings.manifest(model, version) {
-            standing.held = holdings.count(&manifest);
-            standing.chunks = manifest.digests.len();
+            status.held = holdings.count(&manifest);
+            status.chunks = manifest.digests.len();
         }
-        if let Some(draw) = self.lock().get(&(Arc::from(model), version)) {
-            standing.quiet_ms = draw.moved.elapsed().as_millis() as u64;
-            standing.origin_lost = draw.origin_lost;
+        if let Some(entry) = self.lock().get(&(Arc::from(model), version)) {
+            status.quiet_ms = entry.last_progress.elapsed().as_millis() as u64;
+            status.origin_lost = entry.origin_lost;
         }
-        let json = serde_json::to_string(&standing)
+        let json = serde_json::to_string(&status)
             .map_err(|e| Error::new(Code::Internal, e))?;
         Ok(answer(StatusCode::OK, json))
     }
@@ -158,136 +163,148 @@
         self: &Arc<Self>,
         request: Request<Incoming>,
     ) -> Result<Response<Body>, Error> {
-        let question = ChunkServer::read_request(request).await?;
-        let idle = Duration::from_millis(question.idle_ms);
-        self.want(&question.model, question.version, idle);
-        self.server.answer_any(&question).await
+        let any_request = ChunkServer::read_request(request).await?;
+        let idle = Duration::from_millis(any_request.idle_ms);
+        self.record_request(&any_request.model, any_request.version, idle);
+        self.server.answer_any(&any_request).await
     }
 
-    /// Takes note that an agent wanted a version `idle` ago, and begins to
-    /// draw it if that was just now.
-    fn want(self: &Arc<Self>, model: &str, version: u64, idle: Duration) {
+    /// Records that an agent requested a version `idle` ago, and starts to
+    /// fetch it unless `idle` exceeds [`FETCH_IDLE_TIMEOUT`].
+    fn record_request(
+        self: &Arc<Self>,
+        model: &str,
+        version: u64,
+        idle: Duration,
+    ) {
         let Some(at) = Instant::now().checked_sub(idle) else { return };
-        let key: Version = (Arc::from(model), version);
-        let mut draws = self.lock();
-        if let Some(draw) = draws.get_mut(&key) {
-            draw.asked = draw.asked.max(at);
+        let key: CacheKey = (Arc::from(model), version);
+        let mut versions = self.lock();
+        if let Some(entry) = versions.get_mut(&key) {
+            entry.last_request = entry.last_request.max(at);
             return;
         }
-        if idle > DRAWN_FOR {
+        if idle > FETCH_IDLE_TIMEOUT {
             return;
         }
-        let draw =
-            Draw { asked: at, moved: Instant::now(), origin_lost: false };
-        draws.insert(key.clone(), draw);
-        while draws.len() > MOST_VERSIONS {
-            let oldest = draws.iter().min_by_key(|(_, draw)| draw.asked);
+        let entry = CacheEntry {
+            last_request: at,
+            last_progress: Instant::now(),
+            origin_lost: false,
+        };
+        versions.insert(key.clone(), entry);
+        while versions.len() > MAX_VERSIONS {
+            let oldest =
+                versions.iter().min_by_key(|(_, entry)| entry.last_request);
             let Some((oldest, _)) = oldest else { break };
             let oldest = oldest.clone();
-            draws.remove(&oldest);
+            versions.remove(&oldest);
             self.context.holdings.remove_version(&oldest.0, oldest.1);
         }
-        drop(draws);
+        drop(versions);
         tokio::spawn(Arc::clone(self).hold(key));
     }
 
-    /// Draws a version and holds it as long as it is asked for.
-    async fn hold(self: Arc<Self>, key: Version) {
+    /// Fetches a version and holds it until it is no longer requested or is
+    /// superseded.
+    async fn hold(self: Arc<Self>, key: CacheKey) {
         tokio::select! {
-            () = self.draw_while_asked(&key) => {}
-            () = self.unasked(&key, HELD_FOR) => {}
-            () = self.superseded(&key) => {}
+            () = self.fetch_while_requested(&key) => {}
+            () = self.until_idle(&key, RETENTION) => {}
+            () = self.until_superseded(&key) => {}
         }
         self.lock().remove(&key);
         self.context.holdings.remove_version(&key.0, key.1);
     }
 
-    /// Draws a version as long as it is asked for, and ends once it is held
-    /// and nobody asks for it any more.
+    /// Fetches a version while it is requested. Returns once it is complete
+    /// and has not been requested for [`RETENTION`].
     ///
-    /// What has come is held meanwhile: agents turn to other entries while
-    /// those that they ask are away, and back again. Entries that dropped it
-    /// then had the origin send a version 2.5 times.
-    async fn draw_while_asked(&self, key: &Version) {
+    /// Chunks are kept while the fetch is suspended, since agents use other
+    /// entries while theirs is unreachable and return afterwards. When entries
+    /// dropped the chunks at once, the origin sent 2.5 copies of a version.
+    async fn fetch_while_requested(&self, key: &CacheKey) {
         loop {
             tokio::select! {
-                () = self.draw(key) => break,
-                () = self.unasked(key, DRAWN_FOR) => {}
+                () = self.fetch_version(key) => break,
+                () = self.until_idle(key, FETCH_IDLE_TIMEOUT) => {}
             }
-            self.asked(key).await;
+            self.until_requested(key).await;
         }
-        self.unasked(key, HELD_FOR).await;
+        self.until_idle(key, RETENTION).await;
     }
 
-    async fn draw(&self, key: &Version) {
-        self.let_older_end(key).await;
+    async fn fetch_version(&self, key: &CacheKey) {
+        self.wait_for_older_version(key).await;
         let (model, version) = (&key.0, key.1);
-        let late = self.is_late(key);
-        let owner = CacheOwner { cache: self, key, late };
+        let may_be_held = self.may_be_partly_held(key);
+        let owner = CacheOwner { cache: self, key, may_be_held };
         loop {
             let manifest =
                 find_manifest(&self.context, &owner, model, version).await;
-            let drawn = fetch(&self.context, &owner, &manifest).await;
-            let Err(error) = drawn else { return };
+            let fetched = fetch(&self.context, &owner, &manifest).await;
+            let Err(error) = fetched else { return };
             log_failure(&self.context.facts, "cache", &error);
             self.context.holdings.remove_version(model, version);
         }
     }
 
-    /// Ends once a version has not been asked for during a span.
-    async fn unasked(&self, key: &Version, span: Duration) {
+    /// Waits until a version has not been requested for a time.
+    async fn until_idle(&self, key: &CacheKey, timeout: Duration) {
         loop {
-            tokio::time::sleep(LOOK).await;
-            let at = self.lock().get(key).map(|draw| draw.asked);
-            if at.is_none_or(|at| at.elapsed() > span) {
+            tokio::time::sleep(REQUEST_CHECK_INTERVAL).await;
+            let at = self.lock().get(key).map(|entry| entry.last_request);
+            if at.is_none_or(|at| at.elapsed() > timeout) {
                 return;
             }
         }
     }
 
-    /// Ends once a version is asked for.
-    async fn asked(&self, key: &Version) {
+    /// Waits until a version is requested again.
+    async fn until_requested(&self, key: &CacheKey) {
         loop {
-            let at = self.lock().get(key).map(|draw| draw.asked);
-            if at.is_some_and(|at| at.elapsed() < DRAWN_FOR) {
+            let at = self.lock().get(key).map(|entry| entry.last_request);
+            if at.is_some_and(|at| at.elapsed() < FETCH_IDLE_TIMEOUT) {
                 return;
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(REQUEST_CHECK_INTERVAL).await;
         }
     }
 
-    /// Whether others may have drawn some of a version before.
-    fn is_late(&self, key: &Version) -> bool {
+    /// Returns whether agents may already hold some chunks of a version.
+    fn may_be_partly_held(&self, key: &CacheKey) -> bool {
         let facts = &self.context.facts;
         let view = facts.view();
-        let named = view.targets.targeted_at(&key.0, key.1);
-        named.is_none_or(|at| facts.now().since(at) > LATE)
+        let targeted = view.targets.targeted_at(&key.0, key.1);
+        targeted.is_none_or(|at| facts.now().since(at) > PARTIAL_HOLDERS_AGE)
     }
 
-    /// Waits for an older version of which little is missing, for a moment:
-    /// it is whole soon if it has the origin's link for itself.
-    async fn let_older_end(&self, key: &Version) {
-        let until = Instant::now() + OLDER_FIRST;
-        while Instant::now() < until {
-            let versions: Vec<Version> = self.lock().keys().cloned().collect();
-            let ending = versions.iter().any(|other| {
-                let part = self.held_part(other);
+    /// Waits up to [`OLDER_VERSION_WAIT`] for an older version that is almost
+    /// complete: it completes soon if it has the origin's link to itself.
+    async fn wait_for_older_version(&self, key: &CacheKey) {
+        let deadline = Instant::now() + OLDER_VERSION_WAIT;
+        while Instant::now() < deadline {
+            let versions: Vec<CacheKey> =
+                self.lock().keys().cloned().collect();
+            let is_completing = versions.iter().any(|other| {
+                let fraction = self.held_fraction(other);
                 let older = other.0 == key.0 && other.1 < key.1;
-                older && (ALMOST_HELD..1.0).contains(&part)
+                older && (COMPLETION_THRESHOLD..1.0).contains(&fraction)
             });
-            if !ending {
+            if !is_completing {
                 return;
             }
-            tokio::time::sleep(LOOK_CLOSELY).await;
+            tokio::time::sleep(COMPLETION_CHECK_INTERVAL).await;
         }
     }
 
-    /// Ends once a newer version is asked for while a good part of this one
-    /// has yet to come: both would come over the origin's link. One that
-    /// replicas of the hall serve comes from these.
-    async fn superseded(&self, key: &Version) {
+    /// Waits until a newer version is requested while less than
+    /// [`COMPLETION_THRESHOLD`] of this one is held: both fetches would share
+    /// the origin's link. A version that replicas of the hall serve is fetched
+    /// from their agents, so it isn't superseded.
+    async fn until_superseded(&self, key: &CacheKey) {
         loop {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(REQUEST_CHECK_INTERVAL).await;
             if !self.peers.holders(&key.0, key.1).is_empty() {
                 continue;
             }
@@ -295,14 +312,14 @@
                 .lock()
                 .keys()
                 .any(|(model, version)| *model == key.0 && *version > key.1);
-            if newer && self.held_part(key) < ALMOST_HELD {
+            if newer && self.held_fraction(key) < COMPLETION_THRESHOLD {
                 return;
             }
         }
     }
 
-    /// Returns the part of a version that is held.
-    fn held_part(&self, key: &Version) -> f64 {
+    /// Returns the fraction of a version that is held, from 0 to 1.
+    fn held_fraction(&self, key: &CacheKey) -> f64 {
         let holdings = &self.context.holdings;
         let Some(manifest) = holdings.manifest(&key.0, key.1) else {
             return 0.0;
@@ -311,13 +328,13 @@
         held / manifest.digests.len().max(1) as f64
     }
 
-    fn note(&self, key: &Version, note: impl FnOnce(&mut Draw)) {
-        if let Some(draw) = self.lock().get_mut(key) {
-            note(draw);
+    fn update(&self, key: &CacheKey, update: impl FnOnce(&mut CacheEntry)) {
+        if let Some(entry) = self.lock().get_mut(key) {
+            update(entry);
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, HashMap<Version, Draw>> {
-        self.draws.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, HashMap<CacheKey, CacheEntry>> {
+        self.versions.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/chunks/src/cache/owner.rs
+++ b/crates/chunks/src/cache/owner.rs
@@ -1,4 +1,4 @@
-//! A cache as one that draws chunks.
+//! The cache of an entry as the owner of a fetch.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,24 +8,24 @@
 use stairhinge::weights::Source;
 use tokio::time::Instant;
 
-use super::{ChunkCache, HELD_FOR, Version};
+use super::{CacheKey, ChunkCache, RETENTION};
 use crate::manifest::VersionManifest;
 use crate::owner::{ChunkOwner, Peer};
 
-/// A cache as one that draws chunks.
+/// One fetch of a cache.
 pub(super) struct CacheOwner<'a> {
     pub cache: &'a ChunkCache,
-    pub key: &'a Version,
-    /// Whether agents may hold some of the version.
-    pub late: bool,
+    pub key: &'a CacheKey,
+    /// Whether agents may already hold some chunks of the version.
+    pub may_be_held: bool,
 }
 
 impl ChunkOwner for CacheOwner<'_> {
     fn peers(&self) -> Vec<Peer> {
-        let me = self.cache.context.addr;
+        let own_addr = self.cache.context.addr;
         let mut peers = Vec::new();
         for entry in self.cache.peers.entries() {
-            if entry.addr != me {
+            if entry.addr != own_addr {
                 peers.push((entry.hall, entry.addr));
             }
         }
@@ -42,33 +42,34 @@
     }
 
     fn partial_holders(&self) -> Vec<SocketAddr> {
-        if self.late { self.cache.peers.agents() } else { Vec::new() }
+        if self.may_be_held { self.cache.peers.agents() } else { Vec::new() }
     }
 
-    // Few entries draw at a time, so each chunk has its share of the
-    // origin's link at once.
+    // Few entries fetch at a time, so each chunk gets its share of the
+    // origin's link even if all are requested at once.
     fn origin_interval(&self, _: u32) -> Duration {
         Duration::ZERO
     }
 
-    fn max_requests(&self, most: usize) -> usize {
-        most
+    fn max_requests(&self, limit: usize) -> usize {
+        limit
     }
 
     fn record_progress(&self, source: &Source) {
-        self.cache.note(self.key, |draw| {
-            draw.moved = Instant::now();
-            draw.origin_lost &= *source != Source::Origin;
+        self.cache.update(self.key, |state| {
+            state.last_progress = Instant::now();
+            state.origin_lost &= *source != Source::Origin;
         });
     }
 
     fn record_origin_failure(&self) {
-        self.cache.note(self.key, |draw| draw.origin_lost = true);
+        self.cache.update(self.key, |state| state.origin_lost = true);
     }
 
     fn idle(&self) -> Duration {
-        let at = self.cache.lock().get(self.key).map(|draw| draw.asked);
-        at.map_or(HELD_FOR, |at| at.elapsed())
+        let at =
+            self.cache.lock().get(self.key).map(|state| state.last_request);
+        at.map_or(RETENTION, |at| at.elapsed())
     }
 
     fn store_chunk<'a>(
--- a/crates/chunks/src/fetch.rs
+++ b/crates/chunks/src/fetch.rs
@@ -1,4 +1,4 @@
-//! FetchContext the chunks of a version.
+//! Fetching the chunks of a version.
 
 use std::time::{Duration, Instant};
 
@@ -13,32 +13,33 @@
 use crate::sources::Sources;
 use crate::transfer::{handle_response, send_request};
 
-/// How long to wait before looking again when nobody can be asked.
-const PAUSE: Duration = Duration::from_millis(50);
+/// How long to wait for a response before the puller is polled again.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How often it is logged how a fetch stands.
-const PROGRESS: Duration = Duration::from_millis(1_000);
+/// How often the progress of a fetch is logged.
+const PROGRESS_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// How long a fetch lasts until the list of peers is read again; each next
-/// time it takes twice as long. Who leaves is noticed by failures, and who
-/// comes has nothing to give yet.
-const RELIST: Duration = Duration::from_millis(1_000);
+/// How long a fetch runs before the list of peers is refreshed for the first
+/// time; the delay doubles each time. Rare refreshes suffice: a peer that left
+/// is noticed by failed requests, and a new peer holds no chunks yet.
+const FIRST_REFRESH_DELAY: Duration = Duration::from_millis(1_000);
 
-/// The most missing chunks that are named in the log.
-const MOST_LOGGED: usize = 6;
+/// The maximum number of missing chunks named in a log line.
+const MAX_LOGGED_CHUNKS: usize = 6;
 
-/// Spoilt chunks after which the manifest itself is doubted.
-const DOUBT_MANIFEST: u32 = 12;
+/// The number of corrupt chunks after which the manifest itself is considered
+/// bad.
+const MAX_CORRUPT_CHUNKS: u32 = 12;
 
-/// How chunks came here.
+/// The number of chunks fetched from each kind of source.
 #[derive(Clone, Copy, Debug, Default)]
-struct Drawn {
+struct FetchCounts {
     near: u32,
     far: u32,
     origin: u32,
 }
 
-impl Drawn {
+impl FetchCounts {
     fn count(&mut self, source: &Source) {
         match source {
             Source::Near(_) => self.near += 1,
@@ -48,12 +49,12 @@
     }
 }
 
-/// Draws what is missing of a version.
+/// Fetches the missing chunks of a version.
 ///
 /// # Errors
 ///
-/// [`Code::BadManifest`] if chunks keep failing, so that the manifest itself
-/// is in doubt.
+/// [`Code::BadManifest`] if so many chunks fail their check that the manifest
+/// itself is likely to be wrong.
 pub async fn fetch(
     context: &FetchContext,
     owner: &dyn ChunkOwner,
@@ -69,47 +70,48 @@
         held,
         chunks: manifest.digests.len(),
     });
-    let mut drawn = Drawn::default();
-    let mut spoilt = 0;
-    let mut known = Sources::of(owner, manifest);
-    let mut puller = known.puller(context, owner, manifest);
-    let mut ready = RequestQueue::new();
-    let mut asked = FuturesUnordered::new();
-    let mut logged = Instant::now();
-    let mut listed_next = started + RELIST;
+    let mut counts = FetchCounts::default();
+    let mut corrupt = 0;
+    let mut sources = Sources::of(owner, manifest);
+    let mut puller = sources.puller(context, owner, manifest);
+    let mut queue = RequestQueue::new();
+    let mut in_flight = FuturesUnordered::new();
+    let mut last_logged = Instant::now();
+    let mut next_refresh = started + FIRST_REFRESH_DELAY;
     while !puller.is_complete() {
         let now = facts.now();
-        for question in puller.poll(now) {
-            ready.push(question);
+        for request in puller.poll(now) {
+            queue.push(request);
         }
-        let mut most = owner.max_requests(known.count());
-        // Without a cache others wait for what is drawn here.
-        if let Some(pace) = owner.pace().filter(|_| known.has_cache()) {
+        let mut limit = owner.max_requests(sources.count());
+        // Without a cache other processes depend on the chunks fetched here,
+        // so the fetch isn't slowed down.
+        if let Some(pace) = owner.pace().filter(|_| sources.has_cache()) {
             let missing = puller.missing().count();
-            most = most.min(missing.saturating_sub(pace.missing_at(now)));
+            limit = limit.min(missing.saturating_sub(pace.missing_at(now)));
         }
-        while let Some(question) = ready.next(asked.len(), most) {
-            asked.push(send_request(context, owner, manifest, question));
+        while let Some(request) = queue.next(in_flight.len(), limit) {
+            in_flight.push(send_request(context, owner, manifest, request));
         }
-        let timer = tokio::time::sleep(PAUSE);
-        let done = tokio::select! {
-            Some(done) = asked.next() => Some(done),
+        let timer = tokio::time::sleep(POLL_INTERVAL);
+        let finished = tokio::select! {
+            Some(finished) = in_flight.next() => Some(finished),
             () = timer => None,
         };
-        if let Some((source, answer)) = done {
-            let taken = handle_response(
+        if let Some((source, response)) = finished {
+            let outcome = handle_response(
                 context,
                 owner,
                 manifest,
                 &mut puller,
                 &source,
-                answer,
+                response,
             )
             .await;
-            match taken {
+            match outcome {
                 Ok(true) => {
                     owner.record_progress(&source);
-                    drawn.count(&source);
+                    counts.count(&source);
                 }
                 Ok(false) => {}
                 Err(error) => {
@@ -118,36 +120,37 @@
                     if source == Source::Origin {
                         owner.record_origin_failure();
                     }
-                    let corrupt = error.code() == Code::CorruptChunk;
-                    spoilt += u32::from(corrupt);
+                    let is_corrupt = error.code() == Code::CorruptChunk;
+                    corrupt += u32::from(is_corrupt);
                 }
             }
-            if spoilt >= DOUBT_MANIFEST {
-                let why = format!("{spoilt} chunks did not fit it");
+            if corrupt >= MAX_CORRUPT_CHUNKS {
+                let why =
+                    format!("{corrupt} chunks did not match the manifest");
                 return Err(Error::new(Code::BadManifest, why));
             }
         }
-        if logged.elapsed() > PROGRESS {
-            logged = Instant::now();
+        if last_logged.elapsed() > PROGRESS_INTERVAL {
+            last_logged = Instant::now();
             log_progress(context, owner, &puller);
         }
-        if Instant::now() > listed_next {
-            listed_next += started.elapsed();
+        if Instant::now() > next_refresh {
+            next_refresh += started.elapsed();
             owner.refresh_peers();
         }
-        let now = Sources::of(owner, manifest);
-        if now != known {
-            known = now;
-            puller.set_ranking(known.walk(context, manifest));
+        let current = Sources::of(owner, manifest);
+        if current != sources {
+            sources = current;
+            puller.set_ranking(sources.ranking(context, manifest));
         }
     }
     facts.log().write(&Decision::FetchDone {
         model: &manifest.model,
         version: manifest.version,
         took_ms: started.elapsed().as_millis() as u64,
-        near: drawn.near,
-        far: drawn.far,
-        origin: drawn.origin,
+        near: counts.near,
+        far: counts.far,
+        origin: counts.origin,
     });
     Ok(())
 }
@@ -157,14 +160,14 @@
     owner: &dyn ChunkOwner,
     puller: &Puller,
 ) {
-    let (asked, suspects) = puller.pending_and_suspect(context.facts.now());
+    let (pending, suspects) = puller.pending_and_suspect(context.facts.now());
     let (link_part, uplink_part) = owner.link_shares();
     context.facts.log().write(&Decision::FetchProgress {
         share: puller.held_permille(),
-        missing: puller.missing().take(MOST_LOGGED).collect(),
+        missing: puller.missing().take(MAX_LOGGED_CHUNKS).collect(),
         link_part,
         uplink_part,
-        asked: asked.iter().map(Source::name).collect(),
+        asked: pending.iter().map(Source::name).collect(),
         suspects: suspects.iter().map(Source::name).collect(),
     });
 }
--- a/crates/chunks/src/find_manifest.rs
+++ b/crates/chunks/src/find_manifest.rs
@@ -1,4 +1,4 @@
-//! Finding the manifest of a version.
+//! Search for the manifest of a version.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,21 +9,23 @@
 
 use crate::manifest::VersionManifest;
 use crate::owner::{ChunkOwner, FetchContext, log_failure};
-use crate::peers::manifest as ask_manifest;
+use crate::peers::request_manifest;
 
-/// How long to wait before asking again.
-const PAUSE: Duration = Duration::from_millis(100);
+/// The delay between attempts.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// How long a question waits at a peer that does not have it yet.
+/// How long a peer that does not have the manifest yet may hold a request.
 const HOLD: Duration = Duration::from_millis(800);
 
-/// How long a question of one waits that also asks the origin.
+/// How long a peer may hold a request of a process that also asks the origin.
 const SHORT_HOLD: Duration = Duration::from_millis(100);
 
-/// How many of the hall are asked before the ranks of peers are gone through.
-const NEAR_ASKED: usize = 2;
+/// The maximum number of processes of the hall that are asked before the
+/// ranked peers.
+const MAX_NEAR_ATTEMPTS: usize = 2;
 
-/// Returns the manifest of a version, from whoever has it.
+/// Returns the manifest of a version from the holdings, or else from a cache,
+/// a peer or the origin. Retries until one of them has it.
 pub async fn find_manifest(
     context: &FetchContext,
     owner: &dyn ChunkOwner,
@@ -32,12 +34,12 @@
 ) -> Arc<VersionManifest> {
     let search = Search { context, owner, model, version };
     let started = Instant::now();
-    let mut round = 0;
+    let mut attempt = 0;
     loop {
         if let Some(manifest) = context.holdings.manifest(model, version) {
             return manifest;
         }
-        match search.ask(round, started.elapsed()).await {
+        match search.attempt(attempt, started.elapsed()).await {
             Ok(manifest) => {
                 let manifest = Arc::new(manifest);
                 context.holdings.add_manifest(&manifest);
@@ -45,8 +47,8 @@
             }
             Err(error) => log_failure(&context.facts, "manifest", &error),
         }
-        round += 1;
-        tokio::time::sleep(PAUSE).await;
+        attempt += 1;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
@@ -59,58 +61,63 @@
 }
 
 impl Search<'_> {
-    async fn ask(
+    async fn attempt(
         &self,
-        round: usize,
-        waited: Duration,
+        attempt: usize,
+        elapsed: Duration,
     ) -> Result<VersionManifest, Error> {
         let near = self.near();
-        let found = match near.get(round) {
-            Some(addr) => self.of(*addr, HOLD).await?,
-            None => self.of_ranks(round - near.len(), waited).await?,
+        let found = match near.get(attempt) {
+            Some(addr) => self.ask_peer(*addr, HOLD).await?,
+            None => self.ask_ranked(attempt - near.len(), elapsed).await?,
         };
         self.check(found)
     }
 
-    /// Returns those of the hall that are asked before the ranks of peers are
-    /// gone through: caches, and for a cache who serves the version, since
-    /// the origin may be away and hand out the newest one only.
+    /// Returns the processes of the hall to ask before the ranked peers: its
+    /// caches and, for a cache, the agents that serve the version, since the
+    /// origin may be down, and may only provide the newest version.
     fn near(&self) -> Vec<SocketAddr> {
         let mut near = self.owner.caches();
         near.extend(self.owner.holders(self.model, self.version));
-        let me = self.score(self.context.addr) as usize;
-        let start = me % near.len().max(1);
+        let own_score = self.score(self.context.addr) as usize;
+        let start = own_score % near.len().max(1);
         near.rotate_left(start);
-        near.truncate(NEAR_ASKED);
+        near.truncate(MAX_NEAR_ATTEMPTS);
         near
     }
 
-    /// Asks the origin or a peer, as ranks have it.
-    async fn of_ranks(
+    /// Asks the origin or a peer, depending on the own rank.
+    async fn ask_ranked(
         &self,
-        round: usize,
-        waited: Duration,
+        attempt: usize,
+        elapsed: Duration,
     ) -> Result<VersionManifest, Error> {
-        let (ranked, place) = self.ranked();
-        match ManifestSource::next(place, ranked.len(), round, waited) {
-            ManifestSource::Origin => self.of_origin().await,
-            ManifestSource::Agent(asked) => {
-                let none = || Error::new(Code::NoSource, "no peer is listed");
-                let addr = *ranked.get(asked).ok_or_else(none)?;
-                let draws = place < ManifestSource::ORIGIN_FETCHERS;
-                self.of(addr, if draws { SHORT_HOLD } else { HOLD }).await
+        let (ranked, own_rank) = self.ranked();
+        match ManifestSource::next(own_rank, ranked.len(), attempt, elapsed) {
+            ManifestSource::Origin => self.ask_origin().await,
+            ManifestSource::Agent(peer_rank) => {
+                let no_peer =
+                    || Error::new(Code::NoSource, "no peer is listed");
+                let addr = *ranked.get(peer_rank).ok_or_else(no_peer)?;
+                let asks_origin = own_rank < ManifestSource::ORIGIN_FETCHERS;
+                self.ask_peer(
+                    addr,
+                    if asks_origin { SHORT_HOLD } else { HOLD },
+                )
+                .await
             }
         }
     }
 
-    async fn of_origin(&self) -> Result<VersionManifest, Error> {
+    async fn ask_origin(&self) -> Result<VersionManifest, Error> {
         let addr = self.context.origin_addr()?;
         let origin = &self.context.origin;
-        let answer = origin.manifest(addr, self.model, self.version).await;
-        answer.inspect_err(|_| self.owner.record_origin_failure())
+        let response = origin.manifest(addr, self.model, self.version).await;
+        response.inspect_err(|_| self.owner.record_origin_failure())
     }
 
-    async fn of(
+    async fn ask_peer(
         &self,
         addr: SocketAddr,
         hold: Duration,
@@ -118,22 +125,23 @@
         let client = &self.context.client;
         let idle = self.owner.idle();
         let (model, version) = (self.model, self.version);
-        ask_manifest(client, addr, model, version, hold, idle).await
+        request_manifest(client, addr, model, version, hold, idle).await
     }
 
-    /// Returns all who draw the version in rank order for its manifest, with
-    /// the place of this process.
+    /// Returns all processes that fetch the version, ranked for its manifest,
+    /// with the own rank.
     fn ranked(&self) -> (Vec<SocketAddr>, usize) {
-        let me = self.context.addr;
-        let mut scored = vec![(self.score(me), me)];
+        let own_addr = self.context.addr;
+        let mut scored = vec![(self.score(own_addr), own_addr)];
         for (_, addr) in self.owner.peers() {
             scored.push((self.score(addr), addr));
         }
         scored.sort_unstable_by(|a, b| b.cmp(a));
         let ranked: Vec<SocketAddr> =
             scored.into_iter().map(|s| s.1).collect();
-        let place = ranked.iter().position(|addr| *addr == me).unwrap_or(0);
-        (ranked, place)
+        let own_rank =
+            ranked.iter().position(|addr| *addr == own_addr).unwrap_or(0);
+        (ranked, own_rank)
     }
 
     fn score(&self, addr: SocketAddr) -> u64 {
@@ -148,16 +156,16 @@
         let chunks =
             routes.and_then(|r| r.engine_for_model(model)).map(|e| e.chunks);
         let expected = chunks.map_or(found.digests.len(), |c| c as usize);
-        let fits = found.version == version
+        let matches = found.version == version
             && found.model == *model
             && !found.digests.is_empty()
             && found.digests.len() == expected;
-        if fits {
+        if matches {
             return Ok(found);
         }
         let why = format!(
-            "model {:?}, version {}, {} chunks; expected {model:?}, \
-             {version}, {expected}",
+            "got model {:?}, version {}, {} chunks; expected {model:?}, \
+             version {version}, {expected} chunks",
             found.model,
             found.version,
             found.digests.len()
--- a/crates/chunks/src/owner.rs
+++ b/crates/chunks/src/owner.rs
@@ -1,4 +1,4 @@
-//! What differs between the processes that draw chunks.
+//! The interface between a fetch and the process that runs it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,74 +15,77 @@
 use crate::holdings::Holdings;
 use crate::manifest::{VersionManifest, WeightOrigin};
 
-/// What one process draws chunks with.
+/// The state and connections that a process uses to fetch chunks.
 #[derive(Clone)]
 pub struct FetchContext {
-    /// What it believes, with its clock and its log.
+    /// The known routes, targets and replicas, with the clock and the log.
     pub facts: Arc<Facts>,
-    /// The chunks that are here.
+    /// The chunks held by this process.
     pub holdings: Arc<Holdings>,
-    /// Connections to peers.
+    /// The HTTP client for requests to peers.
     pub client: Client,
-    /// The origin of weights.
+    /// The client of the origin.
     pub origin: Arc<dyn WeightOrigin>,
-    /// Where peers ask this process.
+    /// The address at which peers send requests to this process.
     pub addr: SocketAddr,
-    /// Its data hall.
+    /// The data hall of this process.
     pub hall: Arc<str>,
 }
 
 impl FetchContext {
-    /// Returns where the origin of weights is published to be.
+    /// Returns the published address of the origin.
     ///
     /// # Errors
     ///
-    /// [`Code::NoSource`] if nowhere.
+    /// [`Code::NoSource`] if no origin is published.
     pub fn origin_addr(&self) -> Result<SocketAddr, Error> {
         let view = self.facts.view();
         let origin = view.routes.as_ref().and_then(|r| r.origin());
-        let none = || Error::new(Code::NoSource, "no origin is published");
-        origin.map(|o| o.addr).ok_or_else(none)
+        let unpublished =
+            || Error::new(Code::NoSource, "the routes name no origin");
+        origin.map(|o| o.addr).ok_or_else(unpublished)
     }
 }
 
-/// A process of the same kind that draws the same version, with its data
-/// hall.
+/// Another process of the same kind that fetches the same version: its data
+/// hall and its address.
 pub type Peer = (Arc<str>, SocketAddr);
 
-/// One who draws chunks.
+/// A process that fetches chunks: it knows the sources, limits the requests
+/// and stores the chunks received.
 pub trait ChunkOwner: Send + Sync {
-    /// Returns the other processes of its kind with their data halls, which
-    /// share the work of context.
+    /// Returns the other processes of the same kind, which share the fetch
+    /// from the origin.
     fn peers(&self) -> Vec<Peer>;
 
-    /// Returns the processes of its hall that hold chunks for it, and are
-    /// asked before any peer.
+    /// Returns the caches of the own hall, which are asked before any peer.
     fn caches(&self) -> Vec<SocketAddr>;
 
-    /// Returns the processes of its hall that hold all of a version, and are
-    /// asked before anybody outside the hall.
+    /// Returns the processes of the own hall that hold a complete version.
+    /// They are asked before any process outside the hall.
     fn holders(&self, model: &str, version: u64) -> Vec<SocketAddr>;
 
-    /// Returns the processes of its hall that may hold some of a version from
-    /// before the draw began.
+    /// Returns the processes of the own hall that may hold chunks of a version
+    /// since before the fetch began.
     fn partial_holders(&self) -> Vec<SocketAddr> {
         Vec::new()
     }
 
-    /// Returns how long the origin's link is taken to be busy with a chunk.
+    /// Returns the estimated time that the origin's link takes to send one
+    /// chunk.
     fn origin_interval(&self, chunk_bytes: u32) -> Duration;
 
-    /// Returns how many of `most` questions the link bears at a time.
-    fn max_requests(&self, most: usize) -> usize;
+    /// Returns how many of at most `limit` requests may be outstanding.
+    fn max_requests(&self, limit: usize) -> usize;
 
-    /// Returns the pace of the fetch, or `None` if it should be as fast as
-    /// the link bears.
+    /// Returns the pace of the fetch, or `None` if it runs at the full rate of
+    /// the link.
     fn pace(&self) -> Option<FetchPace> {
         None
     }
 
-    /// Takes in a verified chunk that was kept.
+    /// Stores a verified chunk in addition to the holdings, such as at an
+    /// engine.
     fn store_chunk<'a>(
         &'a self,
         manifest: &'a VersionManifest,
@@ -90,32 +93,33 @@
         bytes: Bytes,
     ) -> BoxFuture<'a, ()>;
 
-    /// Takes note that a chunk came.
+    /// Records that a chunk arrived from a source.
     fn record_progress(&self, source: &Source) {
         let _ = source;
     }
 
-    /// Returns how long ago an agent last wanted what is drawn.
+    /// Returns how long ago an agent last requested the version being
+    /// fetched.
     fn idle(&self) -> Duration {
         Duration::ZERO
     }
 
-    /// Takes note that the origin failed.
+    /// Records that a request to the origin failed.
     fn record_origin_failure(&self) {}
 
-    /// Reads the list of peers again, beside the fetch.
+    /// Starts to refresh the list of peers in the background.
     fn refresh_peers(&self) {}
 
-    /// Returns the part of the link that questions and what is sent may
-    /// take, for the log.
+    /// Returns the shares of the link that downloads and uploads may use, each
+    /// from 0 to 1, for the log.
     fn link_shares(&self) -> (f64, f64) {
         (1.0, 1.0)
     }
 }
 
-/// Where chunks lie that are not in memory.
+/// Chunks that are staged outside of the process memory.
 pub trait ChunkStage: Send + Sync {
-    /// Reads a chunk back.
+    /// Reads a staged chunk.
     fn read<'a>(
         &'a self,
         model: &'a str,
@@ -123,7 +127,7 @@
     ) -> BoxFuture<'a, Result<Bytes, Error>>;
 }
 
-/// Logs that a source failed.
+/// Logs the failure of a source.
 pub fn log_failure(facts: &Facts, source: &str, error: &Error) {
     facts.log().write(&Decision::SourceFailed {
         source,
--- a/crates/chunks/src/peers.rs
+++ b/crates/chunks/src/peers.rs
@@ -1,4 +1,4 @@
-//! Asking other processes for chunks.
+//! Requests to other processes for chunks, manifests and their status.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,146 +15,161 @@
 
 use crate::manifest::VersionManifest;
 
-/// The path at which any of some chunks is asked for.
+/// The path of requests for any of the given chunks.
 pub(crate) const ANY: &str = "/weights/any";
 
-/// The path at which manifests are asked for, before model and version.
+/// The prefix of the path of manifest requests, before model and version.
 pub(crate) const MANIFEST: &str = "/weights/manifest/";
 
-/// The path at which a cache tells how a version stands.
+/// The prefix of the path of status requests to a cache, before model and
+/// version.
 pub(crate) const STANDING: &str = "/weights/standing/";
 
-/// The query of a question how a version stands that is to be drawn.
+/// The query of a status request that also starts the fetch of the version.
 pub(crate) const DRAW: &str = "draw";
 
-/// The largest answer of how a version stands, in bytes.
-const MOST_STANDING: usize = 1_024;
+/// The maximum size of a status response, in bytes.
+const MAX_STATUS_BYTES: usize = 1_024;
 
-/// Within which a cache has to tell how a version stands: it is in the same
-/// hall, less than a millisecond away.
-const STANDING_TIME: Duration = Duration::from_millis(300);
+/// The timeout of a status request. The cache is in the same hall, less than
+/// a millisecond away.
+const STATUS_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The longest silence within a transfer.
+/// How long a transfer may go without receiving a byte.
 pub const STALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// The largest manifest, in bytes.
-const MOST_MANIFEST: usize = 2 << 20;
+/// The maximum size of a manifest, in bytes.
+const MAX_MANIFEST_BYTES: usize = 2 << 20;
 
-/// A question for any of some chunks of a version.
+/// A request for any of the given chunks of a version.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct AnyChunkRequest {
     /// The model.
     pub model: Arc<str>,
     /// The version.
     pub version: u64,
-    /// The places of the chunks, the dearest first.
+    /// The indices of the wanted chunks, in order of preference.
     pub want: Vec<u32>,
-    /// How long to wait for one, in milliseconds.
+    /// How long the server may hold the request until it has one of them, in
+    /// milliseconds.
     pub hold_ms: u64,
-    /// Whether it is only to be told what is held, once one is.
+    /// Whether the server sends only its holdings, once it holds one of the
+    /// chunks, and no chunk.
     #[serde(default)]
-    pub tell: bool,
-    /// How long ago an agent last wanted the version, as far as the asker
+    #[serde(rename = "tell")]
+    pub holdings_only: bool,
+    /// How long ago an agent last requested the version, as far as the client
     /// knows, in milliseconds.
     #[serde(default)]
     pub idle_ms: u64,
 }
 
-/// What a cache holds of a version.
+/// The state of a version in a cache.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize,
 )]
 pub struct CacheStatus {
-    /// Chunks that it holds.
+    /// The number of chunks held.
     pub held: usize,
-    /// Chunks of the version; 0 while that is not known.
+    /// The number of chunks of the version; 0 while the manifest is unknown.
     pub chunks: usize,
-    /// How long no chunk of it has come, in milliseconds.
+    /// The time since the last chunk arrived, in milliseconds.
     pub quiet_ms: u64,
-    /// Whether the origin failed when it was last asked.
+    /// Whether the last request to the origin failed.
     pub origin_lost: bool,
 }
 
-/// What a peer answered.
+/// The response of a peer to an [`AnyChunkRequest`].
 #[derive(Debug)]
-pub(crate) struct PeerAnswer {
-    /// A chunk with its place, or none yet.
+pub(crate) struct PeerResponse {
+    /// A chunk with its index; `None` if the peer has none of them yet.
     pub chunk: Option<(u32, Bytes)>,
-    /// Whether it holds each chunk of the version, in the engine's order;
+    /// Whether the peer holds each chunk of the version, in manifest order;
     /// empty if it does not know the version.
     pub held: Vec<bool>,
 }
 
-/// Asks a peer for any of some chunks.
+/// Requests any of the given chunks from a peer.
 ///
 /// # Errors
 ///
-/// [`Code::NoSource`] if it does not answer, [`Code::Stalled`] if it stops.
-pub(crate) async fn ask(
+/// [`Code::NoSource`] if the peer does not respond or refuses,
+/// [`Code::Stalled`] if the transfer stalls, [`Code::CorruptChunk`] if the
+/// peer sends a chunk that was not requested.
+pub(crate) async fn request_any(
     client: &Client,
     addr: SocketAddr,
-    question: &AnyChunkRequest,
-) -> Result<PeerAnswer, Error> {
-    let json = serde_json::to_vec(question)
+    request: &AnyChunkRequest,
+) -> Result<PeerResponse, Error> {
+    let json = serde_json::to_vec(request)
         .map_err(|e| Error::new(Code::Internal, e))?;
-    let request: Request<Body> = Request::post(ANY)
+    let http_request: Request<Body> = Request::post(ANY)
         .header(CONTENT_TYPE, "application/json")
         .body(full(json))
         .map_err(|e| Error::new(Code::Internal, e))?;
-    let within = STALL_TIMEOUT + Duration::from_millis(question.hold_ms);
+    let timeout = STALL_TIMEOUT + Duration::from_millis(request.hold_ms);
     let response = client
-        .send(addr, request, within)
+        .send(addr, http_request, timeout)
         .await
         .map_err(|e| Error::new(Code::NoSource, e))?;
-    let held = text(&response, headers::HELD);
+    let held = header_text(&response, headers::HELD);
     let held = held.bytes().map(|b| b == b'1').collect();
     match response.status().as_u16() {
-        204 => Ok(PeerAnswer { chunk: None, held }),
+        204 => Ok(PeerResponse { chunk: None, held }),
         200 => {
-            let place = text(&response, headers::CHUNK).parse();
-            let place = place.ok().filter(|p| question.want.contains(p));
-            let Some(place) = place else {
-                let why = "not one of the chunks asked for";
+            let index = header_text(&response, headers::CHUNK).parse();
+            let index = index.ok().filter(|i| request.want.contains(i));
+            let Some(index) = index else {
+                let why = "the peer sent a chunk that was not requested";
                 return Err(Error::new(Code::CorruptChunk, why));
             };
-            let bytes = whole(response.into_body()).await?;
-            Ok(PeerAnswer { chunk: Some((place, bytes)), held })
+            let bytes = read_body(response.into_body()).await?;
+            Ok(PeerResponse { chunk: Some((index, bytes)), held })
         }
-        other => Err(Error::new(Code::NoSource, format!("answers {other}"))),
+        other => Err(Error::new(
+            Code::NoSource,
+            format!("the peer responded with status {other}"),
+        )),
     }
 }
 
-/// Asks a cache how a version stands there; with `draw` the cache begins to
-/// draw it.
+/// Requests the state of a version from a cache. With `fetch` the cache starts
+/// to fetch the version.
 ///
 /// # Errors
 ///
-/// [`Code::NoSource`] if it does not answer.
+/// [`Code::NoSource`] if the cache refuses, [`Code::MalformedJson`] if its
+/// response cannot be parsed, or the error of the connection.
 pub async fn cache_status(
     client: &Client,
     cache: SocketAddr,
     model: &str,
     version: u64,
-    draw: bool,
+    fetch: bool,
 ) -> Result<CacheStatus, Error> {
-    let query = if draw { DRAW } else { "" };
+    let query = if fetch { DRAW } else { "" };
     let path = format!("{STANDING}{model}/{version}?{query}");
-    let got = client.get(cache, &path, MOST_STANDING, STANDING_TIME);
-    let (status, _, bytes) = got.await?;
+    let response = client.get(cache, &path, MAX_STATUS_BYTES, STATUS_TIMEOUT);
+    let (status, _, bytes) = response.await?;
     if status != 200 {
-        return Err(Error::new(Code::NoSource, format!("answers {status}")));
+        return Err(Error::new(
+            Code::NoSource,
+            format!("the cache responded with status {status}"),
+        ));
     }
     serde_json::from_slice(&bytes)
         .map_err(|e| Error::new(Code::MalformedJson, e))
 }
 
-/// Asks a peer for the manifest of a version; the question waits there for
-/// `hold`. An agent last wanted the version `idle` ago.
+/// Requests the manifest of a version from a peer, which may hold the request
+/// for `hold`. An agent last requested the version `idle` ago.
 ///
 /// # Errors
 ///
-/// [`Code::NoSource`] if it does not have it.
-pub(crate) async fn manifest(
+/// [`Code::NoSource`] if the peer does not have the manifest,
+/// [`Code::BadManifest`] if its response cannot be parsed, or the error of the
+/// connection.
+pub(crate) async fn request_manifest(
     client: &Client,
     addr: SocketAddr,
     model: &str,
@@ -165,29 +180,32 @@
     let (ms, idle) = (hold.as_millis(), idle.as_millis());
     let path =
         format!("{MANIFEST}{model}/{version}?hold_ms={ms}&idle_ms={idle}");
-    let within = STALL_TIMEOUT + hold;
+    let timeout = STALL_TIMEOUT + hold;
     let (status, _, bytes) =
-        client.get(addr, &path, MOST_MANIFEST, within).await?;
+        client.get(addr, &path, MAX_MANIFEST_BYTES, timeout).await?;
     if status != 200 {
-        return Err(Error::new(Code::NoSource, format!("answers {status}")));
+        return Err(Error::new(
+            Code::NoSource,
+            format!("the peer responded with status {status}"),
+        ));
     }
     serde_json::from_slice(&bytes)
         .map_err(|e| Error::new(Code::BadManifest, e))
 }
 
-fn text(response: &Response<Incoming>, name: &str) -> String {
+fn header_text(response: &Response<Incoming>, name: &str) -> String {
     let value = response.headers().get(name);
     value.and_then(|v| v.to_str().ok()).unwrap_or("").to_string()
 }
 
-/// Reads a body whole, as long as it makes progress.
-async fn whole(mut body: Incoming) -> Result<Bytes, Error> {
+/// Reads a complete body. Fails once no byte arrives for [`STALL_TIMEOUT`].
+async fn read_body(mut body: Incoming) -> Result<Bytes, Error> {
     let mut bytes = BytesMut::new();
     loop {
         let frame = tokio::time::timeout(STALL_TIMEOUT, body.frame()).await;
         let frame = frame.map_err(|_| {
             let ms = STALL_TIMEOUT.as_millis();
-            Error::new(Code::Stalled, format!("no byte for {ms} ms"))
+            Error::new(Code::Stalled, format!("no byte received for {ms} ms"))
         })?;
         let Some(frame) = frame else { return Ok(bytes.freeze()) };
         let frame = frame.map_err(|e| Error::new(Code::NoSource, e))?;
--- a/crates/chunks/src/server.rs
+++ b/crates/chunks/src/server.rs
@@ -1,4 +1,4 @@
-//! Answering others' questions for chunks and manifests.
+//! Serving chunks and manifests to other processes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,27 +16,27 @@
 use crate::owner::ChunkStage;
 use crate::peers::{AnyChunkRequest, MANIFEST};
 
-/// The largest question, in bytes.
-const MOST_QUESTION: usize = 64 << 10;
+/// The maximum size of a request body, in bytes.
+const MAX_REQUEST_BYTES: usize = 64 << 10;
 
-/// Within which a question has to be whole.
-const QUESTION_TIME: Duration = Duration::from_secs(2);
+/// The timeout for reading a request body.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The longest that a question may wait.
-const MOST_HOLD: Duration = Duration::from_secs(2);
+/// The maximum time that a request may be held.
+const MAX_HOLD: Duration = Duration::from_secs(2);
 
-/// Answers from what is held here.
+/// Serves the chunks and manifests that this process holds.
 #[derive(Clone)]
 pub struct ChunkServer {
     holdings: Arc<Holdings>,
-    /// Where chunks lie that are not in memory.
+    /// The chunks that are staged outside of the process memory.
     stage: Option<Arc<dyn ChunkStage>>,
-    /// What chunks may take of the link.
+    /// The rate limit for sending chunks.
     uplink: Shaper,
 }
 
 impl ChunkServer {
-    /// Returns a server of what is held, over a shaped link.
+    /// Returns a server of the holdings that sends over a rate-limited link.
     pub fn new(
         holdings: Arc<Holdings>,
         stage: Option<Arc<dyn ChunkStage>>,
@@ -45,46 +45,47 @@
         ChunkServer { holdings, stage, uplink }
     }
 
-    /// Reads a question.
+    /// Reads and parses a request for any of the given chunks.
     ///
     /// # Errors
     ///
-    /// [`Code::MalformedJson`], or that of a body that is not whole.
+    /// [`Code::MalformedJson`] if the body cannot be parsed, or the error of
+    /// reading it.
     pub async fn read_request(
         request: Request<Incoming>,
     ) -> Result<AnyChunkRequest, Error> {
         let body = request.into_body();
-        let bytes = read(body, MOST_QUESTION, QUESTION_TIME).await?;
+        let bytes = read(body, MAX_REQUEST_BYTES, REQUEST_TIMEOUT).await?;
         serde_json::from_slice(&bytes)
             .map_err(|e| Error::new(Code::MalformedJson, e))
     }
 
-    /// Reads the model and the version that a path asks the manifest of, if
-    /// it does.
+    /// Parses the path of a manifest request into model and version. Returns
+    /// `None` for any other path.
     pub fn manifest_path(path: &str) -> Option<(&str, u64)> {
         version_path(path, MANIFEST)
     }
 
-    /// Answers with the manifest of a version, waiting for it as long as the
-    /// query of the question says.
+    /// Answers with the manifest of a version, waiting for it for the time
+    /// given in the query, up to 2 s.
     ///
     /// # Errors
     ///
-    /// [`Code::NoSource`] if it does not come.
+    /// [`Code::NoSource`] if the manifest does not arrive in time.
     pub async fn answer_manifest(
         &self,
         model: &str,
         version: u64,
         query: &str,
     ) -> Result<Response<Body>, Error> {
-        let hold = span(query, "hold_ms").min(MOST_HOLD);
-        let until = Instant::now() + hold;
+        let hold = query_duration(query, "hold_ms").min(MAX_HOLD);
+        let deadline = Instant::now() + hold;
         let manifest = loop {
             let arrived = self.holdings.arrived();
             if let Some(manifest) = self.holdings.manifest(model, version) {
                 break manifest;
             }
-            let waited = tokio::time::timeout_at(until, arrived).await;
+            let waited = tokio::time::timeout_at(deadline, arrived).await;
             waited.map_err(|_| {
                 Error::new(Code::NoSource, format!("{model}/{version}"))
             })?;
@@ -94,22 +95,24 @@
         Ok(answer(StatusCode::OK, json))
     }
 
-    /// Answers with the first wanted chunk that is held, waiting for one.
+    /// Answers with the first wanted chunk that is held, waiting for one for
+    /// the time given in the request, up to 2 s. The status is 204 if none
+    /// arrives, or if only the holdings were requested.
     ///
     /// # Errors
     ///
-    /// [`Code::Internal`] if the answer cannot be made.
+    /// [`Code::Internal`] if the response cannot be built.
     pub async fn answer_any(
         &self,
-        question: &AnyChunkRequest,
+        request: &AnyChunkRequest,
     ) -> Result<Response<Body>, Error> {
-        let hold = Duration::from_millis(question.hold_ms).min(MOST_HOLD);
-        let until = Instant::now() + hold;
-        let found = if question.tell {
-            self.until_held(question, until).await;
+        let hold = Duration::from_millis(request.hold_ms).min(MAX_HOLD);
+        let deadline = Instant::now() + hold;
+        let found = if request.holdings_only {
+            self.until_held(request, deadline).await;
             None
         } else {
-            self.first_until(question, until).await
+            self.first_until(request, deadline).await
         };
         let mut response = match found {
             None => {
@@ -117,15 +120,15 @@
                 *response.status_mut() = StatusCode::NO_CONTENT;
                 response
             }
-            Some((place, bytes)) => {
+            Some((index, bytes)) => {
                 let uplink = self.uplink.clone();
                 let mut response = Response::new(in_turn(bytes, uplink));
-                let place = HeaderValue::from(place);
-                response.headers_mut().insert(headers::CHUNK, place);
+                let index = HeaderValue::from(index);
+                response.headers_mut().insert(headers::CHUNK, index);
                 response
             }
         };
-        let held = self.held(question);
+        let held = self.held_bits(request);
         if !held.is_empty() {
             let value = HeaderValue::from_str(&held)
                 .map_err(|e| Error::new(Code::Internal, e))?;
@@ -134,68 +137,72 @@
         Ok(response)
     }
 
-    /// Waits until any wanted chunk is held, or the time is over.
-    async fn until_held(&self, question: &AnyChunkRequest, until: Instant) {
+    /// Waits until any wanted chunk is held, or until a deadline.
+    async fn until_held(&self, request: &AnyChunkRequest, deadline: Instant) {
         loop {
             let arrived = self.holdings.arrived();
-            if self.holds_any(question) {
+            if self.holds_any(request) {
                 return;
             }
-            if tokio::time::timeout_at(until, arrived).await.is_err() {
+            if tokio::time::timeout_at(deadline, arrived).await.is_err() {
                 return;
             }
         }
     }
 
-    /// Returns the first wanted chunk that is held, waiting for one.
+    /// Returns the first wanted chunk that is held, waiting for one until a
+    /// deadline.
     async fn first_until(
         &self,
-        question: &AnyChunkRequest,
-        until: Instant,
+        request: &AnyChunkRequest,
+        deadline: Instant,
     ) -> Option<(u32, Bytes)> {
         loop {
             let arrived = self.holdings.arrived();
-            let found = self.first(question).await;
+            let found = self.first(request).await;
             if found.is_some() {
                 return found;
             }
-            tokio::time::timeout_at(until, arrived).await.ok()?;
+            tokio::time::timeout_at(deadline, arrived).await.ok()?;
         }
     }
 
     /// Returns whether any wanted chunk is held.
-    fn holds_any(&self, question: &AnyChunkRequest) -> bool {
-        let known = self.holdings.manifest(&question.model, question.version);
+    fn holds_any(&self, request: &AnyChunkRequest) -> bool {
+        let known = self.holdings.manifest(&request.model, request.version);
         let Some(manifest) = known else { return false };
-        let digests = question.want.iter();
+        let digests = request.want.iter();
         let mut digests =
-            digests.filter_map(|place| manifest.digests.get(*place as usize));
+            digests.filter_map(|index| manifest.digests.get(*index as usize));
         digests.any(|digest| self.holdings.holds(digest))
     }
 
-    /// Returns the first wanted chunk that is held and still good.
-    async fn first(&self, question: &AnyChunkRequest) -> Option<(u32, Bytes)> {
+    /// Returns the first wanted chunk that is held. Removes staged chunks that
+    /// cannot be read or don't match their digest.
+    async fn first(&self, request: &AnyChunkRequest) -> Option<(u32, Bytes)> {
         let manifest =
-            self.holdings.manifest(&question.model, question.version)?;
-        for place in &question.want {
-            let digest = manifest.digests.get(*place as usize)?;
+            self.holdings.manifest(&request.model, request.version)?;
+        for i in &request.want {
+            let digest = manifest.digests.get(*i as usize)?;
             let (model, index) = match self.holdings.get(digest) {
                 None => continue,
                 Some(ChunkLocation::Memory(bytes)) => {
-                    return Some((*place, bytes));
+                    return Some((*i, bytes));
                 }
                 Some(ChunkLocation::Staged(model, index)) => (model, index),
             };
-            if let Some(bytes) = self.staged(&model, index, digest).await {
-                return Some((*place, bytes));
+            if let Some(bytes) = self.read_staged(&model, index, digest).await
+            {
+                return Some((*i, bytes));
             }
             self.holdings.remove_chunk(digest);
         }
         None
     }
 
-    /// Returns a chunk that is not in memory, if it is still good.
-    async fn staged(
+    /// Reads a staged chunk. Returns `None` if it cannot be read or doesn't
+    /// match its digest.
+    async fn read_staged(
         &self,
         model: &str,
         index: u32,
@@ -205,9 +212,10 @@
         (Digest::sha256(&bytes) == *digest).then_some(bytes)
     }
 
-    /// Returns a bit for each chunk of the version asked about.
-    fn held(&self, question: &AnyChunkRequest) -> String {
-        let known = self.holdings.manifest(&question.model, question.version);
+    /// Returns a bit for each chunk of the requested version: `1` if it is
+    /// held, `0` if not.
+    fn held_bits(&self, request: &AnyChunkRequest) -> String {
+        let known = self.holdings.manifest(&request.model, request.version);
         let mut bits = String::new();
         for digest in known.iter().flat_map(|m| &m.digests) {
             let held = self.holdings.holds(digest);
@@ -217,19 +225,20 @@
     }
 }
 
-/// Reads the model and the version that a path has after its start, if it
-/// begins so.
+/// Parses a path of the form `{prefix}{model}/{version}` into model and
+/// version.
 pub(crate) fn version_path<'a>(
     path: &'a str,
-    start: &str,
+    prefix: &str,
 ) -> Option<(&'a str, u64)> {
-    let named = path.strip_prefix(start)?;
-    let (model, version) = named.split_once('/')?;
+    let suffix = path.strip_prefix(prefix)?;
+    let (model, version) = suffix.split_once('/')?;
     Some((model, version.parse().ok()?))
 }
 
-/// Returns a span that a query names in milliseconds, 0 if it does not.
-pub(crate) fn span(query: &str, name: &str) -> Duration {
+/// Returns a duration given in a query in milliseconds, or 0 if it is missing
+/// or invalid.
+pub(crate) fn query_duration(query: &str, name: &str) -> Duration {
     let mut fields = query.split('&').filter_map(|f| f.split_once('='));
     let found = fields.find(|(field, _)| *field == name);
     let ms = found.and_then(|(_, value)| value.parse().ok());
--- a/crates/chunks/src/sources.rs
+++ b/crates/chunks/src/sources.rs
@@ -1,4 +1,4 @@
-//! Whom a process may draw chunks from.
+//! The sources from which a process can fetch chunks.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,23 +12,25 @@
 use crate::manifest::VersionManifest;
 use crate::owner::{ChunkOwner, FetchContext, Peer};
 
-/// How many draws on the origin a fetch makes before peers are asked.
+/// How many halls each fetch a full copy from the origin.
 const ORIGIN_COPIES: u32 = 1;
 
-/// A peer that answers is not left because it has nothing yet: while the
-/// origin is down nobody has, and all would turn to the origin at once.
-const NEVER: Duration = Duration::from_secs(3_600);
+/// How long a peer may answer "not yet", in effect without limit. While the
+/// origin is down no peer has new chunks, and a limit would make all processes
+/// turn to the origin at once.
+const NOT_YET_LIMIT: Duration = Duration::from_secs(3_600);
 
-/// When a process that is not in charge of a chunk draws it from the origin.
+/// When a process fetches a chunk from the origin that another process is
+/// responsible for.
 const TAKEOVER: Takeover = Takeover {
     after: Duration::from_millis(1_500),
     step: Duration::from_millis(250),
 };
 
-/// How many processes of its hall each one passes a chunk on to.
+/// How many processes of its hall each process forwards a chunk to.
 const FANOUT: usize = 2;
 
-/// The processes that may have chunks of a version, as of now.
+/// The processes that may currently hold chunks of a version.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub(crate) struct Sources {
     peers: Vec<Peer>,
@@ -38,7 +40,7 @@
 }
 
 impl Sources {
-    /// Returns those that an owner knows.
+    /// Returns the sources that an owner knows.
     pub(crate) fn of(
         owner: &dyn ChunkOwner,
         manifest: &VersionManifest,
@@ -51,7 +53,7 @@
         }
     }
 
-    /// Returns how many there are, with the origin.
+    /// Returns the number of sources, including the origin.
     pub(crate) fn count(&self) -> usize {
         let near = self.caches.len()
             + self.holders.len()
@@ -59,18 +61,18 @@
         (self.peers.len() + near).max(1) + 1
     }
 
-    /// Returns whether a cache of the hall holds chunks for this process.
+    /// Returns whether a cache of the hall serves this process.
     pub(crate) fn has_cache(&self) -> bool {
         !self.caches.is_empty()
     }
 
-    /// Returns the ranks of all of them for a version.
-    pub(crate) fn walk(
+    /// Returns the ranking of all sources for a version.
+    pub(crate) fn ranking(
         &self,
         context: &FetchContext,
         manifest: &VersionManifest,
     ) -> SourceRanking {
-        let me: Arc<str> = Arc::from(context.addr.to_string());
+        let own_name: Arc<str> = Arc::from(context.addr.to_string());
         let mut halls: Vec<(Arc<str>, Vec<Arc<str>>)> = Vec::new();
         for (hall, addr) in &self.peers {
             let name = Arc::from(addr.to_string());
@@ -85,7 +87,7 @@
             subject.as_bytes(),
             &halls,
             hall,
-            &me,
+            &own_name,
             ORIGIN_COPIES,
         )
         .with_fanout(FANOUT)
@@ -94,7 +96,7 @@
         .with_partial_holders(names(&self.partial_holders))
     }
 
-    /// Returns a puller of what is missing of a version.
+    /// Returns a puller of the missing chunks of a version.
     pub(crate) fn puller(
         &self,
         context: &FetchContext,
@@ -105,18 +107,19 @@
         for digest in &manifest.digests {
             chunks.push(Chunk::with_digest(*digest, manifest.chunk_bytes));
         }
-        let me = context.addr.to_string();
-        let turn = rank::score(subject(manifest).as_bytes(), &me) as usize;
-        let turn = turn % chunks.len().max(1);
-        let patience = FetchTimeouts::new()
+        let own_name = context.addr.to_string();
+        let offset =
+            rank::score(subject(manifest).as_bytes(), &own_name) as usize;
+        let offset = offset % chunks.len().max(1);
+        let timeouts = FetchTimeouts::new()
             .with_hold(Duration::from_millis(800))
-            .with_not_yet_limit(NEVER)
+            .with_not_yet_limit(NOT_YET_LIMIT)
             .with_suspicion(Duration::from_millis(2_000))
             .with_takeover(TAKEOVER)
             .with_origin_interval(owner.origin_interval(manifest.chunk_bytes));
-        let walk = self.walk(context, manifest);
+        let ranking = self.ranking(context, manifest);
         let holdings = &context.holdings;
-        Puller::new(walk, &chunks, patience, turn, |d| holdings.holds(d))
+        Puller::new(ranking, &chunks, timeouts, offset, |d| holdings.holds(d))
     }
 }
 
@@ -124,7 +127,7 @@
     addrs.iter().map(|addr| Arc::from(addr.to_string())).collect()
 }
 
-/// Returns what names a version in ranks.
+/// Returns the subject under which the sources of a version are ranked.
 fn subject(manifest: &VersionManifest) -> String {
     format!("{}@{}", manifest.model, manifest.version)
 }
--- a/crates/chunks/src/transfer.rs
+++ b/crates/chunks/src/transfer.rs
@@ -1,4 +1,4 @@
-//! Putting one question for chunks, and taking in its answer.
+//! Sending one request for chunks, and handling the response.
 
 use std::net::SocketAddr;
 
@@ -9,37 +9,37 @@
 use crate::holdings::ChunkLocation;
 use crate::manifest::VersionManifest;
 use crate::owner::{ChunkOwner, FetchContext};
-use crate::peers::{AnyChunkRequest, PeerAnswer, ask};
+use crate::peers::{AnyChunkRequest, PeerResponse, request_any};
 
-/// Puts one question to its source.
+/// Sends one request to its source.
 pub(crate) async fn send_request(
     context: &FetchContext,
     owner: &dyn ChunkOwner,
     manifest: &VersionManifest,
-    question: ChunkRequest,
-) -> (Source, Result<PeerAnswer, Error>) {
-    let source = question.source().clone();
-    let answer = match &source {
-        Source::Origin => from_origin(context, manifest, &question).await,
+    request: ChunkRequest,
+) -> (Source, Result<PeerResponse, Error>) {
+    let source = request.source().clone();
+    let response = match &source {
+        Source::Origin => from_origin(context, manifest, &request).await,
         Source::Near(name) | Source::Far(name) => {
-            from_peer(context, owner, manifest, name, &question).await
+            from_peer(context, owner, manifest, name, &request).await
         }
     };
-    (source, answer)
+    (source, response)
 }
 
 async fn from_origin(
     context: &FetchContext,
     manifest: &VersionManifest,
-    question: &ChunkRequest,
-) -> Result<PeerAnswer, Error> {
-    let nothing = || Error::new(Code::Internal, "nothing was wanted");
+    request: &ChunkRequest,
+) -> Result<PeerResponse, Error> {
+    let unknown = || Error::new(Code::Internal, "unknown chunk requested");
     let addr = context.origin_addr()?;
-    let digest = *question.want().first().ok_or_else(nothing)?;
-    let index = manifest.index(&digest).ok_or_else(nothing)?;
+    let digest = *request.want().first().ok_or_else(unknown)?;
+    let index = manifest.index(&digest).ok_or_else(unknown)?;
     let (model, version) = (&manifest.model, manifest.version);
     let bytes = context.origin.chunk(addr, model, version, index).await?;
-    Ok(PeerAnswer { chunk: Some((index, bytes)), held: Vec::new() })
+    Ok(PeerResponse { chunk: Some((index, bytes)), held: Vec::new() })
 }
 
 async fn from_peer(
@@ -47,44 +47,50 @@
     owner: &dyn ChunkOwner,
     manifest: &VersionManifest,
     name: &str,
-    question: &ChunkRequest,
-) -> Result<PeerAnswer, Error> {
+    request: &ChunkRequest,
+) -> Result<PeerResponse, Error> {
     let addr: SocketAddr =
         name.parse().map_err(|e| Error::new(Code::BadAddress, e))?;
     let mut want = Vec::new();
-    for digest in question.want() {
+    for digest in request.want() {
         want.extend(manifest.index(digest));
     }
-    let question = AnyChunkRequest {
+    let any_request = AnyChunkRequest {
         want,
-        tell: question.is_holdings_only(),
-        hold_ms: question.hold().as_millis() as u64,
+        holdings_only: request.is_holdings_only(),
+        hold_ms: request.hold().as_millis() as u64,
         model: manifest.model.clone(),
         version: manifest.version,
         idle_ms: owner.idle().as_millis() as u64,
     };
-    ask(&context.client, addr, &question).await
+    request_any(&context.client, addr, &any_request).await
 }
 
-/// Takes an answer in; returns whether it brought a chunk.
+/// Verifies and stores the chunk of a response, and updates the puller.
+/// Returns whether the response contained a chunk.
+///
+/// # Errors
+///
+/// The error of the request, or [`Code::CorruptChunk`] if the bytes don't have
+/// the digest of the chunk.
 pub(crate) async fn handle_response(
     context: &FetchContext,
     owner: &dyn ChunkOwner,
     manifest: &VersionManifest,
     puller: &mut Puller,
     source: &Source,
-    answer: Result<PeerAnswer, Error>,
+    response: Result<PeerResponse, Error>,
 ) -> Result<bool, Error> {
-    let answer = answer?;
-    puller.record_holdings(source, answer.held.into_iter());
-    let Some((place, bytes)) = answer.chunk else {
+    let response = response?;
+    puller.record_holdings(source, response.held.into_iter());
+    let Some((index, bytes)) = response.chunk else {
         puller.record_not_yet(source, context.facts.now());
         return Ok(false);
     };
-    let nothing = || Error::new(Code::Internal, "no such chunk");
-    let digest = *manifest.digests.get(place as usize).ok_or_else(nothing)?;
+    let unknown = || Error::new(Code::Internal, "chunk index out of range");
+    let digest = *manifest.digests.get(index as usize).ok_or_else(unknown)?;
     if Digest::sha256(&bytes) != digest {
-        let why = format!("not the bytes of {digest}");
+        let why = format!("received bytes do not match digest {digest}");
         return Err(Error::new(Code::CorruptChunk, why));
     }
     store_chunk(context, owner, manifest, digest, bytes).await;
@@ -92,7 +98,8 @@
     Ok(true)
 }
 
-/// Keeps a verified chunk for others, and hands it to the owner.
+/// Stores a verified chunk for peers, and passes it to the owner for each
+/// index at which the manifest contains it.
 async fn store_chunk(
     context: &FetchContext,
     owner: &dyn ChunkOwner,
@@ -103,8 +110,8 @@
     context
         .holdings
         .insert_chunk(digest, ChunkLocation::Memory(bytes.clone()));
-    for (i, named) in manifest.digests.iter().enumerate() {
-        if *named == digest {
+    for (i, listed) in manifest.digests.iter().enumerate() {
+        if *listed == digest {
             owner.store_chunk(manifest, i as u32, bytes.clone()).await;
         }
     }
