--- a/crates/chunks/src/holdings.rs
+++ b/crates/chunks/src/holdings.rs
@@ -1,8 +1,8 @@
-//! The chunks that a process can pass on.
+//! The chunks that a process can serve to its peers.
 //!
-//! Each chunk was verified when it came. Its bytes stay in memory while
-//! peers may still want them; afterwards they are read back from the engine
-//! and verified again, since what lies there may turn bad.
+//! Each chunk is verified on arrival. Its bytes stay in memory while peers
+//! are likely to request it; afterwards they are read back from the engine
+//! and verified again, since a staged chunk may get corrupted.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -13,22 +13,23 @@
 
 use crate::manifest::VersionManifest;
 
-/// Where a chunk's bytes are.
+/// Where the bytes of a chunk are stored.
 #[derive(Clone, Debug)]
-pub enum Held {
+pub enum ChunkLocation {
     /// In memory.
-    Bytes(Bytes),
-    /// Staged at the engine, as this chunk of this model.
+    Memory(Bytes),
+    /// Staged at the engine, under this model and chunk index.
     Staged(Arc<str>, u32),
 }
 
 #[derive(Debug, Default)]
 struct Inner {
     manifests: Vec<Arc<VersionManifest>>,
-    held: HashMap<Digest, Held>,
+    held: HashMap<Digest, ChunkLocation>,
 }
 
-/// The chunks held; shared by fetching and serving.
+/// The chunks and manifests that a process holds, shared by the fetch and the
+/// server.
 #[derive(Debug, Default)]
 pub struct Holdings {
     inner: Mutex<Inner>,
@@ -36,16 +37,17 @@
 }
 
 impl Holdings {
-    /// The most manifests that are remembered.
-    const MOST_MANIFESTS: usize = 3;
+    /// The maximum number of manifests kept.
+    const MAX_MANIFESTS: usize = 3;
 
-    /// Remembers a manifest.
-    pub fn remember(&self, manifest: &Arc<VersionManifest>) {
+    /// Adds a manifest. Beyond [`Holdings::MAX_MANIFESTS`] the oldest one is
+    /// removed with its chunks.
+    pub fn add_manifest(&self, manifest: &Arc<VersionManifest>) {
         let mut inner = self.lock();
         inner.manifests.retain(|m| {
             m.version != manifest.version || m.model != manifest.model
         });
-        if inner.manifests.len() >= Holdings::MOST_MANIFESTS {
+        if inner.manifests.len() >= Holdings::MAX_MANIFESTS {
             let oldest = inner.manifests.remove(0);
             for digest in &oldest.digests {
                 inner.held.remove(digest);
@@ -56,7 +58,7 @@
         self.arrived.notify_waiters();
     }
 
-    /// Returns the manifest of a version, if it is remembered.
+    /// Returns the manifest of a version, if known.
     pub fn manifest(
         &self,
         model: &str,
@@ -70,25 +72,26 @@
         found.map(Arc::clone)
     }
 
-    /// Forgets the manifest of a version.
-    pub fn forget(&self, model: &str, version: u64) {
+    /// Removes the manifest of a version and keeps its chunks.
+    pub fn remove_manifest(&self, model: &str, version: u64) {
         self.lock()
             .manifests
             .retain(|m| &*m.model != model || m.version != version);
     }
 
-    /// Drops the manifest of a version, with the chunks that no other
-    /// version has.
-    pub fn drop_version(&self, model: &str, version: u64) {
+    /// Removes the manifest of a version, with the chunks that no other
+    /// version contains.
+    pub fn remove_version(&self, model: &str, version: u64) {
         let mut inner = self.lock();
-        let of_version = |m: &Arc<VersionManifest>| {
+        let is_version = |m: &Arc<VersionManifest>| {
             &*m.model == model && m.version == version
         };
-        let Some(place) = inner.manifests.iter().position(of_version) else {
+        let Some(position) = inner.manifests.iter().position(is_version)
+        else {
             return;
         };
-        let dropped = inner.manifests.remove(place);
-        for digest in &dropped.digests {
+        let removed = inner.manifests.remove(position);
+        for digest in &removed.digests {
             let shared =
                 inner.manifests.iter().any(|m| m.digests.contains(digest));
             if !shared {
@@ -97,19 +100,19 @@
         }
     }
 
-    /// Takes in a verified chunk.
-    pub fn keep(&self, digest: Digest, held: Held) {
-        self.lock().held.insert(digest, held);
+    /// Inserts a verified chunk.
+    pub fn insert_chunk(&self, digest: Digest, location: ChunkLocation) {
+        self.lock().held.insert(digest, location);
         self.arrived.notify_waiters();
     }
 
-    /// Drops a chunk that has turned bad.
-    pub fn drop_chunk(&self, digest: &Digest) {
+    /// Removes a chunk that is corrupt or cannot be read any more.
+    pub fn remove_chunk(&self, digest: &Digest) {
         self.lock().held.remove(digest);
     }
 
-    /// Returns where a chunk is, if it is held.
-    pub fn get(&self, digest: &Digest) -> Option<Held> {
+    /// Returns the location of a chunk, if it is held.
+    pub fn get(&self, digest: &Digest) -> Option<ChunkLocation> {
         self.lock().held.get(digest).cloned()
     }
 
@@ -118,69 +121,70 @@
         self.lock().held.contains_key(digest)
     }
 
-    /// Returns how many chunks of a version are held.
+    /// Returns how many chunks of a version are held, counting duplicates.
     pub fn count(&self, manifest: &VersionManifest) -> usize {
         let inner = self.lock();
         let digests = manifest.digests.iter();
         digests.filter(|d| inner.held.contains_key(*d)).count()
     }
 
-    /// Returns a chunk's bytes if they are in memory.
+    /// Returns the bytes of a chunk, if they are in memory.
     pub fn bytes(&self, digest: &Digest) -> Option<Bytes> {
         match self.lock().held.get(digest) {
-            Some(Held::Bytes(bytes)) => Some(bytes.clone()),
+            Some(ChunkLocation::Memory(bytes)) => Some(bytes.clone()),
             _ => None,
         }
     }
 
-    /// Leaves the bytes of a version to the engine, where they lie staged.
-    /// Chunks of other versions stay as they are.
-    pub fn settle(&self, manifest: &VersionManifest) {
+    /// Frees the bytes of a version's chunks, which are staged at the engine.
+    /// Chunks of other versions are unaffected.
+    pub fn mark_staged(&self, manifest: &VersionManifest) {
         let mut inner = self.lock();
         for (i, digest) in manifest.digests.iter().enumerate() {
             let Some(held) = inner.held.get_mut(digest) else { continue };
             let model = Arc::clone(&manifest.model);
-            *held = Held::Staged(model, i as u32);
+            *held = ChunkLocation::Staged(model, i as u32);
         }
     }
 
-    /// Forgets the chunks of a version that only lie at the engine.
-    pub fn forget_staged(&self, manifest: &VersionManifest) {
+    /// Removes the chunks of a version that are staged at the engine only.
+    pub fn remove_staged(&self, manifest: &VersionManifest) {
         let mut inner = self.lock();
         for digest in &manifest.digests {
-            if let Some(Held::Staged(..)) = inner.held.get(digest) {
+            if let Some(ChunkLocation::Staged(..)) = inner.held.get(digest) {
                 inner.held.remove(digest);
             }
         }
     }
 
-    /// Returns the chunk that is held at a place at the engine.
+    /// Returns the digest of the chunk staged at the engine under an index.
     pub fn staged_at(&self, model: &str, index: u32) -> Option<Digest> {
         let inner = self.lock();
         let mut held = inner.held.iter();
         let found = held.find(|(_, held)| match held {
-            Held::Staged(m, i) => **m == *model && *i == index,
-            Held::Bytes(_) => false,
+            ChunkLocation::Staged(m, i) => **m == *model && *i == index,
+            ChunkLocation::Memory(_) => false,
         });
         found.map(|(digest, _)| *digest)
     }
 
-    /// Drops all versions of a model before one, with the chunks that no
-    /// other version has.
-    pub fn drop_before(&self, model: &str, version: u64) {
-        let older: Vec<u64> = {
+    /// Removes all versions of a model before `version`, with the chunks that
+    /// no other version contains.
+    pub fn remove_versions_before(&self, model: &str, version: u64) {
+        let older_versions: Vec<u64> = {
             let inner = self.lock();
             let of_model =
                 inner.manifests.iter().filter(|m| &*m.model == model);
             let versions = of_model.map(|m| m.version);
             versions.filter(|v| *v < version).collect()
         };
-        for version in older {
-            self.drop_version(model, version);
+        for version in older_versions {
+            self.remove_version(model, version);
         }
     }
 
-    /// Returns a future that ends when the next chunk or manifest arrives.
+    /// Returns a future that completes when the next chunk or manifest
+    /// arrives.
     pub fn arrived(&self) -> tokio::sync::futures::Notified<'_> {
         self.arrived.notified()
     }
