--- a/crates/gateway/src/cache_site.rs
+++ b/crates/gateway/src/cache_site.rs
@@ -21,7 +21,7 @@
 
     fn holders(&self, model: &str, version: u64) -> Vec<SocketAddr> {
         let mut holders = Vec::new();
-        for addr in self.dispatcher.serving(model, version) {
+        for addr in self.dispatcher.serving_replicas(model, version) {
             holders.push(SocketAddr::new(addr.ip(), self.agent_port));
         }
         holders.sort();
@@ -30,7 +30,7 @@
 
     fn agents(&self) -> Vec<SocketAddr> {
         let mut agents = Vec::new();
-        for addr in self.dispatcher.engines_near() {
+        for addr in self.dispatcher.local_engines() {
             agents.push(SocketAddr::new(addr.ip(), self.agent_port));
         }
         agents.sort();
--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -44,7 +44,7 @@
     /// has told.
     listening: usize,
     /// The leading ones of the own hall, the first to place in front.
-    ranked: Arc<Vec<SocketAddr>>,
+    leading: Arc<Vec<SocketAddr>>,
 }
 
 /// How far the dispatcher looks back and ahead.
@@ -243,7 +243,7 @@
 
     /// Gives waiting requests the room that there is now, at one replica if
     /// that alone has changed.
-    pub(crate) fn pump(&self, only: Option<&Arc<str>>) {
+    pub(crate) fn dispatch_waiting(&self, only: Option<&Arc<str>>) {
         let mut state = self.lock();
         if state.waiting.is_empty() {
             return;
@@ -268,7 +268,7 @@
     }
 
     /// Takes in an agent's report of the engine beside it.
-    pub(crate) fn report(
+    pub(crate) fn record_report(
         &self,
         incarnation: &Arc<str>,
         mut report: EngineReport,
@@ -289,11 +289,11 @@
             self.rank_entries(&mut state);
         }
         drop(state);
-        self.pump(Some(incarnation));
+        self.dispatch_waiting(Some(incarnation));
     }
 
     /// Takes note that a replica's last report still holds.
-    pub(crate) fn confirm(&self, incarnation: &Arc<str>) {
+    pub(crate) fn confirm_report(&self, incarnation: &Arc<str>) {
         let mut state = self.lock();
         let known = state.known.get_mut(incarnation);
         if let Some(reported) = known.and_then(|k| k.reported.as_mut()) {
@@ -302,7 +302,7 @@
     }
 
     /// Forgets the report of a replica whose agent is out of reach.
-    pub(crate) fn unreport(&self, incarnation: &Arc<str>) {
+    pub(crate) fn drop_report(&self, incarnation: &Arc<str>) {
         let mut state = self.lock();
         if let Some(known) = state.known.get_mut(incarnation) {
             let told = known.drop_report();
@@ -359,7 +359,7 @@
     }
 
     /// Whether the replica's engine has been reported down since a moment.
-    pub(crate) fn is_down(&self, incarnation: &str) -> bool {
+    pub(crate) fn is_engine_down(&self, incarnation: &str) -> bool {
         let state = self.lock();
         let reported =
             state.known.get(incarnation).and_then(|k| k.reported.as_ref());
--- a/crates/gateway/src/dispatch/hall.rs
+++ b/crates/gateway/src/dispatch/hall.rs
@@ -20,8 +20,8 @@
     }
 
     /// Returns the leading entries of the hall, the first to place in front.
-    pub(crate) fn ranked(&self) -> Arc<Vec<SocketAddr>> {
-        Arc::clone(&self.lock().ranked)
+    pub(crate) fn leading_entries(&self) -> Arc<Vec<SocketAddr>> {
+        Arc::clone(&self.lock().leading)
     }
 
     /// Returns how many entries the fleet has, if agents have told of those of
@@ -61,7 +61,7 @@
         }
         entries.sort_unstable();
         entries.dedup();
-        state.ranked = Arc::new(leading_entries(leading));
+        state.leading = Arc::new(leading_entries(leading));
         state.listening = listening;
         state.entries = Arc::new(entries);
     }
--- a/crates/gateway/src/dispatch/news.rs
+++ b/crates/gateway/src/dispatch/news.rs
@@ -10,14 +10,14 @@
 
 impl Dispatcher {
     /// Learns from a report which versions are named, and how long ago.
-    pub(crate) fn learn(&self, report: &EngineReport) {
+    pub(crate) fn learn_targets(&self, report: &EngineReport) {
         if let Some(news) = &report.news {
             self.facts.learn_targets(&news.targets);
         }
     }
 
     /// Returns the newest routes that any agent tells of.
-    pub(crate) fn newest_told(&self) -> Option<News> {
+    pub(crate) fn newest_news(&self) -> Option<News> {
         let state = self.lock();
         let told = state
             .known
@@ -27,7 +27,7 @@
     }
 
     /// Returns where the engines of the own hall are.
-    pub(crate) fn engines_near(&self) -> Vec<SocketAddr> {
+    pub(crate) fn local_engines(&self) -> Vec<SocketAddr> {
         let view = self.facts.view();
         let mut engines = Vec::new();
         for (replica, _) in view.replicas.values() {
@@ -41,7 +41,7 @@
 
     /// Returns the replicas of the own hall that serve a version, by the
     /// reports of their agents.
-    pub(crate) fn serving(
+    pub(crate) fn serving_replicas(
         &self,
         model: &str,
         version: u64,
@@ -68,7 +68,11 @@
     /// Returns the replicas whose agents should be told some news: all that
     /// do not know of a version, and `most` of the own hall that do not know
     /// of the routes.
-    pub(crate) fn behind(&self, news: &News, most: usize) -> Vec<SocketAddr> {
+    pub(crate) fn lagging_agents(
+        &self,
+        news: &News,
+        most: usize,
+    ) -> Vec<SocketAddr> {
         let view = self.facts.view();
         let state = self.lock();
         let mut near: Vec<(&Arc<str>, SocketAddr, u64)> = Vec::new();
--- a/crates/gateway/src/dispatch/outcome.rs
+++ b/crates/gateway/src/dispatch/outcome.rs
@@ -84,6 +84,6 @@
                     .saturating_sub(place.prompt_tokens);
             }
         }
-        self.pump(Some(incarnation));
+        self.dispatch_waiting(Some(incarnation));
     }
 }
--- a/crates/gateway/src/dispatch/place.rs
+++ b/crates/gateway/src/dispatch/place.rs
@@ -128,7 +128,7 @@
     }
 
     /// Notes what the request brought, as far as it tells of the replica.
-    pub(crate) fn note(&mut self, outcome: Outcome) {
+    pub(crate) fn record_outcome(&mut self, outcome: Outcome) {
         if let Some(lease) = &mut self.lease {
             lease.note(outcome);
         }
--- a/crates/gateway/src/entry.rs
+++ b/crates/gateway/src/entry.rs
@@ -169,7 +169,7 @@
 ) -> Result<Arc<HallPlacing>, Error> {
     let dispatcher = Arc::clone(dispatcher);
     let Some(own) = settings.peers else {
-        return Ok(Arc::new(HallPlacing::alone(dispatcher)));
+        return Ok(Arc::new(HallPlacing::without_peers(dispatcher)));
     };
     let wire = Arc::new(Wire::bind(own).await?);
     let gossip = Arc::new(PoisonGossip::new(
@@ -286,7 +286,7 @@
     let mut timer = tokio::time::interval(HOUSEKEEPING);
     loop {
         timer.tick().await;
-        forwarder.keep_house();
+        forwarder.sweep_and_update_gauges();
         forwarder.metrics.note_calls(&directory.counts());
     }
 }
--- a/crates/gateway/src/feed.rs
+++ b/crates/gateway/src/feed.rs
@@ -93,7 +93,7 @@
                 Open { often, task }
             });
         }
-        dispatcher.pump(None);
+        dispatcher.dispatch_waiting(None);
         // A part that has changed shows in no fact.
         let changed = tokio::time::timeout(LOOK, changes.changed()).await;
         if matches!(changed, Ok(Err(_))) {
@@ -111,7 +111,7 @@
     let view = dispatcher.facts().view();
     let role = match listener.addr {
         Some(own) if listener.hall_placing => {
-            HallRole::of(own, &dispatcher.ranked())
+            HallRole::of(own, &dispatcher.leading_entries())
         }
         _ => HallRole::Placer,
     };
@@ -174,7 +174,7 @@
                 reason: &reason,
             });
         }
-        dispatcher.unreport(&feed.replica.incarnation);
+        dispatcher.drop_report(&feed.replica.incarnation);
         let guessed = dispatcher.facts().view().routes.is_none();
         pause = if heard || !guessed {
             PAUSE
@@ -232,13 +232,13 @@
                 }
                 newest = Some(report);
             } else {
-                dispatcher.confirm(incarnation);
+                dispatcher.confirm_report(incarnation);
             }
         }
         if let Some(report) = newest {
             on_first();
-            dispatcher.learn(&report);
-            dispatcher.report(incarnation, report);
+            dispatcher.learn_targets(&report);
+            dispatcher.record_report(incarnation, report);
         }
         if buffer.len() > MOST_LINE {
             return Err("line too long".into());
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -65,25 +65,25 @@
 }
 
 /// An attempt that brought no usable answer.
-pub(crate) struct Missed {
+pub(crate) struct AttemptError {
     pub result: AttemptResult,
     pub reason: String,
     /// Whether the connection ended under it.
-    pub cut: bool,
+    pub connection_lost: bool,
     /// The replica's own answer, if it came whole: another replica may do
     /// better, and if none does it is the caller's.
     pub failure: Option<Response<Body>>,
 }
 
-impl Missed {
-    fn new(result: AttemptResult, reason: impl ToString) -> Missed {
+impl AttemptError {
+    fn new(result: AttemptResult, reason: impl ToString) -> AttemptError {
         let reason = reason.to_string();
-        Missed { result, reason, cut: false, failure: None }
+        AttemptError { result, reason, connection_lost: false, failure: None }
     }
 
-    fn cut(reason: impl ToString) -> Missed {
-        let missed = Missed::new(AttemptResult::NoResponse, reason);
-        Missed { cut: true, ..missed }
+    fn connection_lost(reason: impl ToString) -> AttemptError {
+        let error = AttemptError::new(AttemptResult::NoResponse, reason);
+        AttemptError { connection_lost: true, ..error }
     }
 }
 
@@ -122,7 +122,7 @@
     }
 
     /// Ends connections that have rested too long, and sets gauges.
-    pub(crate) fn keep_house(&self) {
+    pub(crate) fn sweep_and_update_gauges(&self) {
         self.pool.sweep();
         self.dispatcher.sweep();
         let (running, waiting) = self.dispatcher.load();
@@ -225,7 +225,7 @@
         self.share(&context.service, |s| s.record_request(self.facts.now()));
         let answered = Arc::clone(&self).attempts(Arc::clone(&context)).await;
         if answered.is_err() {
-            self.poison.given_up(&context);
+            self.poison.record_give_up(&context);
         }
         answered
     }
@@ -236,16 +236,16 @@
         context: &Arc<RequestContext>,
         answered: Answered,
         suspicion: Suspicion,
-    ) -> Result<Response<Body>, Missed> {
+    ) -> Result<Response<Body>, AttemptError> {
         let Answered { mut head, mut upstream } = answered;
         let status = head.status;
         if head.headers.contains_key(CONTENT_ENCODING) {
             let why = "an encoding that nobody asked for";
-            return Err(Missed::new(AttemptResult::NoResponse, why));
+            return Err(AttemptError::new(AttemptResult::NoResponse, why));
         }
         self.metrics.answered(context.started.elapsed().as_secs_f64());
         if context.route.streaming && status.is_success() {
-            upstream.place.note(Outcome::Succeeded);
+            upstream.place.record_outcome(Outcome::Succeeded);
             let kept = head.headers.clone();
             strip(&mut head.headers);
             head.headers.remove(CONTENT_LENGTH);
@@ -260,35 +260,36 @@
         }
         let Upstream { body, connection, mut place, .. } = upstream;
         let most = self.settings.get().body_bytes;
-        let bytes = read(body, most, context.left()).await.map_err(|e| {
-            place.note(Outcome::Failed);
-            match e.code() {
-                Code::MalformedHttp => Missed::cut(e),
-                _ => Missed::new(AttemptResult::NoResponse, e),
-            }
-        })?;
+        let bytes =
+            read(body, most, context.remaining()).await.map_err(|e| {
+                place.record_outcome(Outcome::Failed);
+                match e.code() {
+                    Code::MalformedHttp => AttemptError::connection_lost(e),
+                    _ => AttemptError::new(AttemptResult::NoResponse, e),
+                }
+            })?;
         self.pool.put(connection, &head.headers);
         if is_framed(&head.headers) {
-            self.poison.answered(context);
+            self.poison.record_answer(context);
         }
         let mut retried = false;
         let failed = status.is_server_error();
         if failed && context.route.repeat != Repeat::Never {
             retried = self.has_retry_left(context, &place);
         } else {
-            place.note(Outcome::Succeeded);
+            place.record_outcome(Outcome::Succeeded);
         }
         let why = format!("the replica answered {status}");
-        let missed = Missed::new(AttemptResult::NoResponse, why);
+        let error = AttemptError::new(AttemptResult::NoResponse, why);
         if promises(status.as_u16()) {
             // It may have run, and this status would say that it did not.
-            return Err(missed);
+            return Err(error);
         }
         strip(&mut head.headers);
         head.headers.remove(CONTENT_LENGTH);
         let response = Response::from_parts(head, full(bytes));
         if retried {
-            return Err(Missed { failure: Some(response), ..missed });
+            return Err(AttemptError { failure: Some(response), ..error });
         }
         self.log_ended(context, status.as_u16(), 0, "", None);
         Ok(response)
@@ -304,7 +305,7 @@
     }
 
     /// Spends a retry of a service's share, if there is one.
-    pub(crate) fn spend(&self, service: &Arc<str>) -> bool {
+    pub(crate) fn spend_retry(&self, service: &Arc<str>) -> bool {
         let now = self.facts.now();
         self.share(service, |share| share.try_spend(now))
     }
--- a/crates/gateway/src/forward/attempts.rs
+++ b/crates/gateway/src/forward/attempts.rs
@@ -13,7 +13,7 @@
 use stairhinge_shell::http::{Body, Failed};
 
 use super::refuse::{lost, quarantined, refused};
-use super::{Forwarder, Missed};
+use super::{AttemptError, Forwarder};
 use crate::connect::has_ended;
 use crate::dispatch::{Place, ReplicaCount};
 use crate::request_context::RequestContext;
@@ -69,39 +69,45 @@
             let sent = Instant::now();
             let replica = Arc::clone(&place.replica);
             let after = context.caller.after_event;
-            let mut missed =
+            let mut error =
                 match self.send(context, place, attempt, after).await {
                     Ok(answered) => {
                         let passed =
                             self.pass_on(context, answered, suspicion);
                         match passed.await {
                             Ok(response) => return Ok(response),
-                            Err(missed) => missed,
+                            Err(error) => error,
                         }
                     }
-                    Err(missed) => missed,
+                    Err(error) => error,
                 };
-            *failure = missed.failure.take().or(failure.take());
-            ran |= matches!(missed.result, AttemptResult::NoResponse);
-            let (replica_ended, known) =
-                self.examine(context, &replica, missed.cut, suspicion).await;
+            *failure = error.failure.take().or(failure.take());
+            ran |= matches!(error.result, AttemptResult::NoResponse);
+            let (replica_ended, known) = self
+                .check_replica_ended(
+                    context,
+                    &replica,
+                    error.connection_lost,
+                    suspicion,
+                )
+                .await;
             let may = attempt < context.route.attempts
                 && !known.is_quarantined()
-                && !context.left().is_zero()
-                && self.spend(&context.service);
+                && !context.remaining().is_zero()
+                && self.spend_retry(&context.service);
             let repeat = context.route.repeat;
-            let next = next_step(missed.result, repeat, ran, may);
+            let next = next_step(error.result, repeat, ran, may);
             let failed = FailedAttempt {
                 replica,
                 sent,
-                reason: missed.reason.clone(),
+                reason: error.reason.clone(),
                 replica_ended,
             };
             self.log_failed(context, &failed, next);
             match next {
                 NextStep::Retry => self.metrics.retries.inc(),
-                NextStep::Refuse => return Err(declined(&missed)),
-                NextStep::Fail => return Err(lost(context, &missed)),
+                NextStep::Refuse => return Err(declined(&error)),
+                NextStep::Fail => return Err(lost(context, &error)),
             };
             attempt += 1;
         }
@@ -118,8 +124,8 @@
         let admitted = self.poison.admit(context);
         need.suspicion = admitted.map_err(|r| quarantined(&r, ran))?;
         let place = self.place(context, need, ran).await;
-        let place = place.inspect_err(|_| self.poison.released(context))?;
-        let admitted = self.poison.still_admits(context, need.suspicion);
+        let place = place.inspect_err(|_| self.poison.finish_run(context))?;
+        let admitted = self.poison.recheck(context, need.suspicion);
         admitted.map_err(|r| quarantined(&r, ran))?;
         Ok(place)
     }
@@ -134,7 +140,7 @@
         let from = Instant::now();
         let until =
             context.deadline.min(from + context.route.objective() / WAIT_PART);
-        let left = context.left();
+        let left = context.remaining();
         let found = self.placing.place(need.clone(), until, left).await;
         self.metrics.waited(from.elapsed().as_secs_f64());
         let lack = match found {
@@ -159,15 +165,15 @@
     /// has ended, and what is known of the request now, of which `sent` was
     /// known when it was sent there. The replica is asked only where the
     /// connection to it ended, since all else has other causes.
-    pub(crate) async fn examine(
+    pub(crate) async fn check_replica_ended(
         &self,
         context: &RequestContext,
         replica: &Replica,
-        cut: bool,
+        connection_lost: bool,
         sent: Suspicion,
     ) -> (Option<bool>, Suspicion) {
-        self.poison.released(context);
-        if !cut {
+        self.poison.finish_run(context);
+        if !connection_lost {
             return (None, sent);
         }
         if !has_ended(replica.addr).await {
@@ -187,9 +193,9 @@
 }
 
 /// Returns the refusal of a request that no replica has run.
-fn declined(missed: &Missed) -> Failed {
-    let why = format!("declined: {}", missed.reason);
-    let shortage = match missed.result {
+fn declined(error: &AttemptError) -> Failed {
+    let why = format!("declined: {}", error.reason);
+    let shortage = match error.result {
         AttemptResult::Unsent => Shortage::Unreachable,
         _ => Shortage::Declined,
     };
--- a/crates/gateway/src/forward/refuse.rs
+++ b/crates/gateway/src/forward/refuse.rs
@@ -10,7 +10,7 @@
 use stairhinge_shell::decisions::Decision;
 use stairhinge_shell::http::{Body, Failed};
 
-use super::{Forwarder, Missed};
+use super::{AttemptError, Forwarder};
 use crate::request_context::RequestContext;
 
 impl Forwarder {
@@ -67,11 +67,11 @@
 }
 
 /// Returns the failure of a request that may have run.
-pub(super) fn lost(context: &RequestContext, missed: &Missed) -> Failed {
-    let code = if context.left().is_zero() {
+pub(super) fn lost(context: &RequestContext, error: &AttemptError) -> Failed {
+    let code = if context.remaining().is_zero() {
         Code::TimedOut
     } else {
         Code::LostBackend
     };
-    Failed::new(Error::new(code, &missed.reason)).with_ran(Ran::MayHaveRun)
+    Failed::new(Error::new(code, &error.reason)).with_ran(Ran::MayHaveRun)
 }
--- a/crates/gateway/src/forward/send.rs
+++ b/crates/gateway/src/forward/send.rs
@@ -12,7 +12,7 @@
 use stairhinge::direct::{AttemptResult, Repeat};
 use stairhinge::placing::Outcome;
 
-use super::{Answered, Forwarder, Missed};
+use super::{Answered, AttemptError, Forwarder};
 use crate::dialect::{Attempt, Judgement};
 use crate::dispatch::Place;
 use crate::hop_headers::strip;
@@ -32,18 +32,21 @@
         mut place: Place,
         attempt: u32,
         after_event: Option<u64>,
-    ) -> Result<Answered, Missed> {
+    ) -> Result<Answered, AttemptError> {
         let replica = Arc::clone(&place.replica);
         let never = context.route.repeat == Repeat::Never;
         let incarnation = &replica.incarnation;
         let got = self.pool.get(incarnation, replica.addr, never).await;
         let mut connection = got.map_err(|e| {
-            place.note(Outcome::Failed);
-            Missed::new(AttemptResult::Unsent, e)
+            place.record_outcome(Outcome::Failed);
+            AttemptError::new(AttemptResult::Unsent, e)
         })?;
-        let left = context.left();
+        let left = context.remaining();
         if left.is_zero() {
-            return Err(Missed::new(AttemptResult::Unsent, "no time left"));
+            return Err(AttemptError::new(
+                AttemptResult::Unsent,
+                "no time left",
+            ));
         }
         self.log_sent(context, &place, attempt, left);
         let at = Instant::now();
@@ -57,13 +60,13 @@
         let response = match tokio::time::timeout(patience, sent).await {
             Ok(Ok(response)) => response,
             Ok(Err(error)) => {
-                place.note(Outcome::Failed);
-                return Err(Missed::cut(error));
+                place.record_outcome(Outcome::Failed);
+                return Err(AttemptError::connection_lost(error));
             }
             Err(_) => {
-                place.note(Outcome::Failed);
+                place.record_outcome(Outcome::Failed);
                 let why = format!("no answer in {} ms", patience.as_millis());
-                return Err(Missed::new(AttemptResult::NoResponse, why));
+                return Err(AttemptError::new(AttemptResult::NoResponse, why));
             }
         };
         let (head, body) = response.into_parts();
@@ -79,20 +82,20 @@
                 Ok(Answered { head, upstream })
             }
             Judgement::Declined => {
-                place.note(Outcome::Full);
+                place.record_outcome(Outcome::Full);
                 self.reuse(connection, head, body).await;
                 let why = "the replica did not run it";
-                Err(Missed::new(AttemptResult::Declined, why))
+                Err(AttemptError::new(AttemptResult::Declined, why))
             }
             Judgement::Misdirected => {
-                place.note(Outcome::Misdirected);
+                place.record_outcome(Outcome::Misdirected);
                 self.reuse(connection, head, body).await;
                 let why = "the replica is another one, or has another version";
-                Err(Missed::new(AttemptResult::Declined, why))
+                Err(AttemptError::new(AttemptResult::Declined, why))
             }
             Judgement::Foreign => {
                 let why = "an answer to another request";
-                Err(Missed::new(AttemptResult::NoResponse, why))
+                Err(AttemptError::new(AttemptResult::NoResponse, why))
             }
         }
     }
--- a/crates/gateway/src/hall_reader.rs
+++ b/crates/gateway/src/hall_reader.rs
@@ -68,7 +68,7 @@
     fn entries(&self) -> Vec<HallEntry> {
         let mut entries = Vec::clone(&self.dispatcher.entries());
         let hall: Arc<str> = Arc::from(self.dispatcher.hall());
-        for addr in self.dispatcher.ranked().iter() {
+        for addr in self.dispatcher.leading_entries().iter() {
             entries.push(HallEntry { addr: *addr, hall: Arc::clone(&hall) });
         }
         entries.sort_unstable();
@@ -148,7 +148,7 @@
                 // in time whatever has become of the readers.
                 return HallNews::Nobody;
             }
-            let leading = self.dispatcher.ranked().len();
+            let leading = self.dispatcher.leading_entries().len();
             let entries = self.entries();
             let awaited = self.choice().reader_to_await(&entries, leading);
             let Some(entry) = awaited else { return HallNews::Nobody };
--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/news.rs
@@ -83,7 +83,7 @@
                 holder: Some(self.addr),
                 targets: self.facts.target_ages(),
             };
-            for addr in self.dispatcher.behind(&news, TOLD_OF_ROUTES) {
+            for addr in self.dispatcher.lagging_agents(&news, TOLD_OF_ROUTES) {
                 let to = SocketAddr::new(addr.ip(), self.agent_port);
                 tokio::spawn(send(self.client.clone(), to, news.clone()));
             }
@@ -94,7 +94,7 @@
     pub(crate) async fn take(self) {
         loop {
             tokio::time::sleep(ASK_AFTER).await;
-            let Some(told) = self.dispatcher.newest_told() else { continue };
+            let Some(told) = self.dispatcher.newest_news() else { continue };
             if told.revision <= self.facts.revision() {
                 continue;
             }
--- a/crates/gateway/src/placing.rs
+++ b/crates/gateway/src/placing.rs
@@ -63,7 +63,7 @@
 
 impl HallPlacing {
     /// Returns the placing of an entry that picks by itself.
-    pub(crate) fn alone(dispatcher: Arc<Dispatcher>) -> HallPlacing {
+    pub(crate) fn without_peers(dispatcher: Arc<Dispatcher>) -> HallPlacing {
         HallPlacing { dispatcher, peers: None }
     }
 
@@ -106,7 +106,7 @@
             let chooser = if alone { Chooser::Alone } else { Chooser::Apart };
             return self.own(need, until, chooser).await;
         };
-        let ranked = self.dispatcher.ranked();
+        let ranked = self.dispatcher.leading_entries();
         let mut why = Chooser::NoPlacer;
         for _ in 0..PlacerChoice::MAX_PLACERS_ASKED {
             let now = self.dispatcher.facts().now();
@@ -262,7 +262,7 @@
     }
 
     fn look(&self, peers: &Peers) {
-        let ranked = self.dispatcher.ranked();
+        let ranked = self.dispatcher.leading_entries();
         peers.choice().retain(&ranked);
         let placer = HallRole::of(peers.own, &ranked) == HallRole::Placer;
         let ready = peers.places && placer && self.dispatcher.hears_hall();
--- a/crates/gateway/src/placing/placer.rs
+++ b/crates/gateway/src/placing/placer.rs
@@ -138,7 +138,7 @@
                 let ended = self.lock().remove(&key);
                 let Some(mut place) = ended else { return };
                 if outcome != Outcome::Unknown {
-                    place.note(outcome);
+                    place.record_outcome(outcome);
                 }
             }
         }
--- a/crates/gateway/src/poison.rs
+++ b/crates/gateway/src/poison.rs
@@ -74,7 +74,7 @@
     /// # Errors
     ///
     /// Why it may not be sent any more.
-    pub(crate) fn still_admits(
+    pub(crate) fn recheck(
         &self,
         context: &RequestContext,
         sent: Suspicion,
@@ -147,7 +147,7 @@
     }
 
     /// Takes note that a request has had its whole answer.
-    pub(crate) fn answered(&self, context: &RequestContext) {
+    pub(crate) fn record_answer(&self, context: &RequestContext) {
         if self.knows_nothing() {
             return;
         }
@@ -164,14 +164,14 @@
     }
 
     /// Takes note that a run of a request is over.
-    pub(crate) fn released(&self, context: &RequestContext) {
+    pub(crate) fn finish_run(&self, context: &RequestContext) {
         if !self.knows_nothing() {
             self.lock().finish_run(context.fingerprint());
         }
     }
 
     /// Takes note that a request is sent on no more.
-    pub(crate) fn given_up(&self, context: &RequestContext) {
+    pub(crate) fn record_give_up(&self, context: &RequestContext) {
         if self.knows_nothing() {
             return;
         }
--- a/crates/gateway/src/poison/gossip.rs
+++ b/crates/gateway/src/poison/gossip.rs
@@ -97,7 +97,7 @@
     /// Returns whom this entry compares tables with: one that leads its hall
     /// with all that it knows of, any other with those that lead.
     fn others(&self) -> Vec<SocketAddr> {
-        let ranked = self.dispatcher.ranked();
+        let ranked = self.dispatcher.leading_entries();
         let leads = ranked.is_empty() || ranked.contains(&self.own);
         let mut others = self.peers();
         if !leads {
@@ -110,7 +110,7 @@
     fn peers(&self) -> BTreeSet<SocketAddr> {
         let now = Instant::now();
         let entries = self.dispatcher.entries();
-        let ranked = self.dispatcher.ranked();
+        let ranked = self.dispatcher.leading_entries();
         let mut known =
             self.known.lock().unwrap_or_else(PoisonError::into_inner);
         for entry in entries.iter() {
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -20,7 +20,7 @@
 use stairhinge_shell::http::{Body, BodyError};
 
 use crate::dispatch::Place;
-use crate::forward::{FailedAttempt, Forwarder, Missed};
+use crate::forward::{AttemptError, FailedAttempt, Forwarder};
 use crate::hop_headers::is_framed;
 use crate::pauses::Pauses;
 use crate::pool::Connection;
@@ -177,7 +177,7 @@
         let resumable = self.context.route.repeat == Repeat::Resume;
         let since = Instant::now();
         loop {
-            let left = self.context.left();
+            let left = self.context.remaining();
             if left.is_zero() {
                 return Read::Broke(Broke::silent("the time is over"));
             }
@@ -199,7 +199,7 @@
                 continue;
             }
             let replica = &upstream.place.replica.incarnation;
-            if self.forwarder.dispatcher.is_down(replica) {
+            if self.forwarder.dispatcher.is_engine_down(replica) {
                 // Asking a replica that is silent would hold the stream up.
                 let why = "its agent reports it down";
                 return Read::Broke(Broke::silent(why));
@@ -217,7 +217,7 @@
             let Upstream { connection, place, body, .. } = upstream;
             drop(body);
             if is_framed(&self.headers) {
-                self.forwarder.poison.answered(&self.context);
+                self.forwarder.poison.record_answer(&self.context);
             }
             self.forwarder.pool.put(connection, &self.headers);
             drop(place);
@@ -235,8 +235,8 @@
             let may = self.context.route.repeat == Repeat::Resume
                 && !self.suspicion.is_quarantined()
                 && self.attempt < self.context.route.attempts
-                && !self.context.left().is_zero()
-                && self.forwarder.spend(&self.context.service);
+                && !self.context.remaining().is_zero()
+                && self.forwarder.spend_retry(&self.context.service);
             let next = if may { NextStep::Retry } else { NextStep::Fail };
             if let Some(failed) = failed.take() {
                 self.forwarder.log_failed(&self.context, &failed, next);
@@ -258,7 +258,7 @@
     /// Leaves the replica whose answer broke off.
     async fn leave(&mut self, broke: Broke) -> Option<FailedAttempt> {
         let mut upstream = self.upstream.take()?;
-        upstream.place.note(Outcome::Failed);
+        upstream.place.record_outcome(Outcome::Failed);
         let replica = Arc::clone(&upstream.place.replica);
         let sent = upstream.sent;
         drop(upstream);
@@ -275,8 +275,10 @@
         cut: bool,
     ) -> FailedAttempt {
         let known = self.suspicion;
-        let (replica_ended, known) =
-            self.forwarder.examine(&self.context, &replica, cut, known).await;
+        let (replica_ended, known) = self
+            .forwarder
+            .check_replica_ended(&self.context, &replica, cut, known)
+            .await;
         self.suspicion = known;
         FailedAttempt { replica, sent, reason, replica_ended }
     }
@@ -298,16 +300,16 @@
             regions: self.context.regions.clone(),
             suspicion: self.suspicion,
         };
-        let left = self.context.left();
+        let left = self.context.remaining();
         let until = Instant::now() + RESUME_WAIT.min(left);
         let found = self.forwarder.placing.place(need, until, left).await;
         let place = found.map_err(|lack| {
-            self.forwarder.poison.released(&self.context);
+            self.forwarder.poison.finish_run(&self.context);
             NotTaken::before(format!("no other replica: {lack}"))
         })?;
         self.forwarder
             .poison
-            .still_admits(&self.context, self.suspicion)
+            .recheck(&self.context, self.suspicion)
             .map_err(NotTaken::before)?;
         let replica = Arc::clone(&place.replica);
         self.tried.push(Arc::clone(&replica.incarnation));
@@ -318,9 +320,10 @@
             .await;
         let answered = match answered {
             Ok(answered) => answered,
-            Err(missed) => {
-                let Missed { reason, cut, .. } = missed;
-                let failed = self.examine(replica, sent, reason, cut).await;
+            Err(error) => {
+                let AttemptError { reason, connection_lost, .. } = error;
+                let failed =
+                    self.examine(replica, sent, reason, connection_lost).await;
                 let reason = failed.reason.clone();
                 return Err(NotTaken { reason, failed: Some(failed) });
             }
@@ -343,8 +346,8 @@
 
     fn cut(&mut self, reason: &str) -> BodyError {
         self.ended = true;
-        self.forwarder.poison.given_up(&self.context);
-        let code = if self.context.left().is_zero() {
+        self.forwarder.poison.record_give_up(&self.context);
+        let code = if self.context.remaining().is_zero() {
             Code::TimedOut
         } else {
             Code::AnswerBroke
@@ -360,7 +363,7 @@
         if self.ended {
             return;
         }
-        self.forwarder.poison.given_up(&self.context);
+        self.forwarder.poison.record_give_up(&self.context);
         self.forwarder.metrics.cancelled.inc();
         self.forwarder.facts.log().write(&Decision::Cancelled {
             request: &self.context.caller.id,
--- a/crates/gateway/src/request_context.rs
+++ b/crates/gateway/src/request_context.rs
@@ -31,7 +31,7 @@
 
 impl RequestContext {
     /// Returns what is left of the request's time.
-    pub(crate) fn left(&self) -> Duration {
+    pub(crate) fn remaining(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
