--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -1,4 +1,5 @@
-//! Picking a replica for each request, and waiting for one with room.
+//! Selects a replica for each request and queues requests while none has
+//! capacity.
 
 mod find;
 mod hall;
@@ -24,56 +25,60 @@
 };
 use stairhinge_shell::directory::{Facts, FactsView};
 
-use self::find::layers;
-use self::known::{Known, Reported};
+use self::find::layer_count;
+use self::known::{KnownReplica, ReceivedReport};
 pub(crate) use self::place::Place;
-pub(crate) use self::queue::Found;
+pub(crate) use self::queue::PlaceResult;
 use self::queue::Queue;
 use crate::report::EngineReport;
 use crate::settings::ColdLimits;
 
 #[derive(Debug, Default)]
 struct State {
-    known: HashMap<Arc<str>, Known>,
+    known: HashMap<Arc<str>, KnownReplica>,
     waiting: Queue,
     contention: Contention,
     recent_objectives: RecentObjectives,
-    /// The entries that agents of the own hall tell of.
+    /// The first-ranked entries of each hall, as reported by agents of this
+    /// hall.
     entries: Arc<Vec<HallEntry>>,
-    /// How many entries the own hall has at most, by its agents; 0 if none
-    /// has told.
+    /// The upper bound on the number of entries in this hall, as reported by
+    /// its agents; 0 if none has reported one.
     listening: usize,
-    /// The leading ones of the own hall, the first to place in front.
+    /// The addresses of this hall's leading entries, in the order in which
+    /// they are preferred as placer.
     leading: Arc<Vec<SocketAddr>>,
 }
 
-/// How far the dispatcher looks back and ahead.
+/// The time limits, rate bounds and regions that restrict dispatching.
 #[derive(Clone, Debug)]
 pub(crate) struct DispatchBounds {
-    /// Within which a named version has to serve.
+    /// The time within which a new target version has to be served.
     pub version: Duration,
-    /// Within which an evacuated hall gets nothing more.
+    /// The time within which an evacuated hall stops getting requests.
     pub evacuation: EvacuationBound,
-    /// The bound on requests to a cold replica.
+    /// The limits on requests to a cold replica.
     pub cold: ColdLimits,
     /// The region of each hall.
     pub regions: HallRegions,
 }
 
-/// The replicas of a service, by whether they could take a request.
+/// The number of replicas of a service, by whether they can take a request.
+/// Each replica that is excluded is counted under the first reason that
+/// applies.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ReplicaCount {
-    /// All that are listed.
+    /// All listed replicas.
     pub listed: usize,
-    /// Those that could take it if they had room.
+    /// Replicas that can take the request once they have capacity.
     pub suitable: usize,
-    /// Those in a region where it may not be served.
+    /// Replicas in a region where the request must not be served.
     pub barred: usize,
-    /// Those of the others in a hall that is evacuated.
+    /// Replicas in an evacuated hall.
     pub evacuated: usize,
-    /// Those of the others that are leaving, by the list or their answers.
+    /// Replicas that are leaving, by their list entry or their answers.
     pub leaving: usize,
-    /// Those of the others whose `Retry-After` to this entry has not expired.
+    /// Replicas whose `Retry-After` to this entry has not expired.
     pub resting: usize,
     /// The shortest remaining `Retry-After` of the resting replicas.
     pub min_retry_after: Option<Duration>,
@@ -95,10 +100,11 @@
     pub resting: usize,
 }
 
-/// How long a replica that had no room is spared.
-const FULL: Duration = Duration::from_millis(60);
+/// How long a replica gets no requests after it declined one for lack of
+/// capacity.
+const FULL_BACKOFF: Duration = Duration::from_millis(60);
 
-/// Picks replicas for the requests of one entry.
+/// Selects replicas for the requests of one entry.
 #[derive(Debug)]
 pub(crate) struct Dispatcher {
     facts: Arc<Facts>,
@@ -110,7 +116,7 @@
 }
 
 impl Dispatcher {
-    /// Returns a dispatcher over a process's beliefs.
+    /// Returns a dispatcher that decides by the process's directory.
     pub(crate) fn new(
         facts: Arc<Facts>,
         instance: Arc<str>,
@@ -132,12 +138,12 @@
         &self.hall
     }
 
-    /// Returns the beliefs that it decides by.
+    /// Returns the directory that it decides by.
     pub(crate) const fn facts(&self) -> &Arc<Facts> {
         &self.facts
     }
 
-    /// Returns a place at a replica, waiting until `until` for one.
+    /// Returns a place at a replica, waiting until `until` for capacity.
     pub(crate) async fn place(
         &self,
         need: Need,
@@ -145,44 +151,47 @@
         kind: ChooserKind,
     ) -> Result<Place, NoPlaceReason> {
         let wait = until.saturating_duration_since(Instant::now());
-        match self.request(need, !wait.is_zero(), kind) {
-            Found::Place(place) => Ok(place),
-            Found::Nothing(lack) => Err(lack),
-            Found::Waits(found) => {
-                found.within(wait).await.ok_or(NoPlaceReason::Room)
+        match self.request_place(need, !wait.is_zero(), kind) {
+            PlaceResult::Place(place) => Ok(place),
+            PlaceResult::NoPlace(reason) => Err(reason),
+            PlaceResult::Queued(pending) => {
+                pending.wait(wait).await.ok_or(NoPlaceReason::Room)
             }
         }
     }
 
-    /// Returns a place at a replica; where there is no room now, it waits for
-    /// some if the caller does.
-    pub(crate) fn request(
+    /// Returns a place at a replica. If no suitable replica has capacity and
+    /// `waits` is set, the request is queued.
+    pub(crate) fn request_place(
         &self,
         need: Need,
         waits: bool,
         kind: ChooserKind,
-    ) -> Found {
+    ) -> PlaceResult {
         let mut state = self.lock();
         state.recent_objectives.record(&need, self.facts.now());
         let view = self.facts.view();
-        let ahead = state.waiting.goes_before(&need);
+        let ahead = state.waiting.has_waiter_ahead_of(&need);
         if !ahead
             && let Some(place) =
-                self.find(&mut state, &view, &need, kind, None)
+                self.find_place(&mut state, &view, &need, kind, None)
         {
-            return Found::Place(place);
+            return PlaceResult::Place(place);
         }
-        if !self.exists(&state, &view, &need) {
-            return Found::Nothing(self.lack(&state, &view, need));
+        if !self.has_suitable_replica(&state, &view, &need) {
+            return PlaceResult::NoPlace(
+                self.no_place_reason(&state, &view, need),
+            );
         }
         if !waits {
-            return Found::Nothing(NoPlaceReason::Room);
+            return PlaceResult::NoPlace(NoPlaceReason::Room);
         }
-        Found::Waits(state.waiting.join(need, kind))
+        PlaceResult::Queued(state.waiting.join(need, kind))
     }
 
-    /// Returns why no replica serves what is needed.
-    fn lack(
+    /// Returns why no replica can serve the request: either there is none, or
+    /// all are outside its allowed regions.
+    fn no_place_reason(
         &self,
         state: &State,
         view: &FactsView,
@@ -192,19 +201,19 @@
             return NoPlaceReason::Replica;
         }
         need.regions = AllowedRegions::default();
-        if self.exists(state, view, &need) {
+        if self.has_suitable_replica(state, view, &need) {
             NoPlaceReason::Region
         } else {
             NoPlaceReason::Replica
         }
     }
 
-    /// Counts the replicas of a service by whether they could take a request.
+    /// Counts the replicas of a service by whether they can take a request.
     pub(crate) fn count(&self, need: &Need) -> ReplicaCount {
         let state = self.lock();
         let view = self.facts.view();
         let now = self.facts.now();
-        let layers = layers(&view, need);
+        let layers = layer_count(&view, need);
         let mut count = ReplicaCount::default();
         for (replica, _) in view.of_service(&need.service) {
             count.listed += 1;
@@ -212,7 +221,7 @@
                 count.barred += 1;
                 continue;
             }
-            if self.evacuation_room(&view, &replica.hall) <= 0.0 {
+            if self.evacuation_capacity(&view, &replica.hall) <= 0.0 {
                 count.evacuated += 1;
                 continue;
             }
@@ -241,33 +250,34 @@
         count
     }
 
-    /// Gives waiting requests the room that there is now, at one replica if
-    /// that alone has changed.
+    /// Assigns available capacity to queued requests. `only` limits this to
+    /// the one replica whose state has changed.
     pub(crate) fn dispatch_waiting(&self, only: Option<&Arc<str>>) {
         let mut state = self.lock();
         if state.waiting.is_empty() {
             return;
         }
         let view = self.facts.view();
-        let mut given = Vec::new();
-        for waiter in state.waiting.take() {
+        let mut granted = Vec::new();
+        for waiter in state.waiting.take_waiters() {
             let (need, kind) = (&waiter.need, waiter.kind);
-            match self.find(&mut state, &view, need, kind, only) {
+            match self.find_place(&mut state, &view, need, kind, only) {
                 Some(place) => {
-                    state.waiting.note_given();
-                    given.push((waiter, place));
+                    state.waiting.record_grant();
+                    granted.push((waiter, place));
                 }
-                None => state.waiting.keep(waiter),
+                None => state.waiting.put_back(waiter),
             }
         }
         drop(state);
-        for (waiter, place) in given {
-            // A place whose waiter has just gone is given back by its drop.
-            let _ = waiter.found.send(place);
+        for (waiter, place) in granted {
+            // If the waiter has been cancelled, dropping the place releases
+            // it.
+            let _ = waiter.sender.send(place);
         }
     }
 
-    /// Takes in an agent's report of the engine beside it.
+    /// Records an agent's report about the engine on its instance.
     pub(crate) fn record_report(
         &self,
         incarnation: &Arc<str>,
@@ -283,7 +293,7 @@
         let all = report.queued + report.running;
         let own = known.load.own();
         known.load = known.load.with_report(report.queued, report.running);
-        known.reported = Some(Reported { report, at: Instant::now() });
+        known.reported = Some(ReceivedReport { report, at: Instant::now() });
         state.contention.record_report(own, all);
         if tells_entries {
             self.rank_entries(&mut state);
@@ -292,7 +302,7 @@
         self.dispatch_waiting(Some(incarnation));
     }
 
-    /// Takes note that a replica's last report still holds.
+    /// Renews the time of a replica's last report, which is unchanged.
     pub(crate) fn confirm_report(&self, incarnation: &Arc<str>) {
         let mut state = self.lock();
         let known = state.known.get_mut(incarnation);
@@ -301,12 +311,13 @@
         }
     }
 
-    /// Forgets the report of a replica whose agent is out of reach.
+    /// Drops the report of a replica whose agent is unreachable.
     pub(crate) fn drop_report(&self, incarnation: &Arc<str>) {
         let mut state = self.lock();
         if let Some(known) = state.known.get_mut(incarnation) {
             let told = known.drop_report();
-            // Tried again and again while an agent is away.
+            // This is called on each retry while the agent is unreachable;
+            // only the first call changes anything.
             if told {
                 self.rank_entries(&mut state);
             }
@@ -332,7 +343,8 @@
         });
     }
 
-    /// Returns the requests of this entry at replicas, and those waiting.
+    /// Returns the numbers of this entry's requests at replicas and in the
+    /// queue.
     pub(crate) fn load(&self) -> (usize, usize) {
         let state = self.lock();
         let own: u32 = state.known.values().map(|k| k.load.own()).sum();
@@ -358,7 +370,8 @@
         count
     }
 
-    /// Whether the replica's engine has been reported down since a moment.
+    /// Returns whether the last report says that the replica's engine is
+    /// down.
     pub(crate) fn is_engine_down(&self, incarnation: &str) -> bool {
         let state = self.lock();
         let reported =
--- a/crates/gateway/src/dispatch/find.rs
+++ b/crates/gateway/src/dispatch/find.rs
@@ -1,4 +1,4 @@
-//! Finding the replica for one request.
+//! Selection of the replica for one request.
 
 use std::sync::{Arc, Weak};
 use std::time::Instant;
@@ -14,87 +14,88 @@
 use super::{Dispatcher, Place, State};
 use crate::placing::Chooser;
 
-/// How long prompts that wait at a replica may take to be read, as a part of
-/// the request's objective. The other half is for the request's own prompt
-/// and the pass under way, 0.12 s at an engine of which half the time goes
-/// into reading. Without a bound replicas got 20 requests within 0.25 s and
-/// began them after 0.8 s.
-const BACKLOG_PART: f64 = 0.5;
+/// The maximum prefill time of the prompts that wait at a replica, as a
+/// fraction of the request's latency objective. The rest is for the request's
+/// own prefill and the forward pass in progress, 0.12 s at an engine that
+/// spends half of its time on prefill. Without a bound, replicas got 20
+/// requests within 0.25 s and started them after 0.8 s.
+const MAX_BACKLOG_FRACTION: f64 = 0.5;
 
-/// The data halls that are reckoned with where the settings name none.
-const MOST_HALLS: usize = 20;
+/// The assumed number of data halls if the settings name none.
+const DEFAULT_HALL_COUNT: usize = 20;
 
-/// Replicas that could take a request, of one kind.
+/// Replicas of the same fitness that can take a request. Both lists have the
+/// same order.
 #[derive(Debug, Default)]
-struct Offered {
+struct CandidateSet {
     candidates: Vec<Candidate>,
     replicas: Vec<(Arc<Replica>, Terms)>,
 }
 
-impl Offered {
-    fn chosen(&self) -> Option<(Arc<Replica>, Terms)> {
+impl CandidateSet {
+    fn best(&self) -> Option<(Arc<Replica>, Terms)> {
         let chosen = choose(&self.candidates)?;
         let (replica, terms) = self.replicas.get(chosen)?;
         Some((Arc::clone(replica), *terms))
     }
 }
 
-/// Replicas that could take a request.
+/// Replicas that can take a request, by fitness.
 #[derive(Debug, Default)]
-struct Offers {
-    /// Those that nothing speaks against.
-    sound: Offered,
-    /// Those that run a request that may end them.
-    shared: Offered,
-    /// Those that have failed of late.
-    failing: Offered,
+struct CandidateSets {
+    /// Replicas without known problems.
+    healthy: CandidateSet,
+    /// Replicas that run a request suspected of crashing replicas.
+    at_risk: CandidateSet,
+    /// Replicas that failed recently.
+    failing: CandidateSet,
 }
 
-impl Offers {
-    fn of(&mut self, fitness: Fitness) -> &mut Offered {
+impl CandidateSets {
+    fn get_mut(&mut self, fitness: Fitness) -> &mut CandidateSet {
         match fitness {
-            Fitness::Sound => &mut self.sound,
-            Fitness::Shared => &mut self.shared,
+            Fitness::Healthy => &mut self.healthy,
+            Fitness::AtRisk => &mut self.at_risk,
             Fitness::Failing => &mut self.failing,
         }
     }
 
-    /// Chooses the best one. Those that have failed are offered only where
-    /// all have.
-    fn chosen(&self) -> Option<(Arc<Replica>, Terms)> {
-        let well = self.sound.chosen().or_else(|| self.shared.chosen());
-        let any_well = !self.sound.candidates.is_empty()
-            || !self.shared.candidates.is_empty();
-        if any_well { well } else { self.failing.chosen() }
+    /// Chooses the best replica. Failing replicas are considered only if there
+    /// are no others.
+    fn best(&self) -> Option<(Arc<Replica>, Terms)> {
+        let well = self.healthy.best().or_else(|| self.at_risk.best());
+        let any_well = !self.healthy.candidates.is_empty()
+            || !self.at_risk.candidates.is_empty();
+        if any_well { well } else { self.failing.best() }
     }
 }
 
-/// What speaks against a replica.
+/// How well a replica is suited to a request, best first.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Fitness {
-    Sound,
-    Shared,
+    Healthy,
+    AtRisk,
     Failing,
 }
 
 impl Dispatcher {
-    /// Whether any replica could take the request if it had room.
-    pub(super) fn exists(
+    /// Returns whether any replica can take the request once it has capacity.
+    pub(super) fn has_suitable_replica(
         &self,
         state: &State,
         view: &FactsView,
         need: &Need,
     ) -> bool {
         let now = self.facts.now();
-        let layers = layers(view, need);
+        let layers = layer_count(view, need);
         view.of_service(&need.service).any(|(replica, _)| {
             self.terms(state, view, need, replica, layers, now).is_some()
         })
     }
 
-    /// Takes a place for a request at the best replica, or at `only` if it
-    /// will do.
-    pub(super) fn find(
+    /// Takes a place for a request at the best replica. If `only` is set, no
+    /// other replica is considered.
+    pub(super) fn find_place(
         &self,
         state: &mut State,
         view: &FactsView,
@@ -102,20 +103,26 @@
         kind: ChooserKind,
         only: Option<&Arc<str>>,
     ) -> Option<Place> {
-        let offers = match only {
-            Some(only) if self.may_fill(state, view, need, only) => {
-                self.offers(state, view, need, kind, view.replicas.get(only))
+        let sets = match only {
+            Some(only) if self.can_serve_waiter(state, view, need, only) => {
+                self.candidate_sets(
+                    state,
+                    view,
+                    need,
+                    kind,
+                    view.replicas.get(only),
+                )
             }
             Some(_) => return None,
             None => {
                 let all = view.of_service(&need.service);
-                self.offers(state, view, need, kind, all)
+                self.candidate_sets(state, view, need, kind, all)
             }
         };
-        let (replica, terms) = offers.chosen()?;
+        let (replica, terms) = sets.best()?;
         let known =
             state.known.entry(Arc::clone(&replica.incarnation)).or_default();
-        known.given(need, self.facts.now());
+        known.record_assigned(need, self.facts.now());
         let reported = known.reported.as_ref();
         Some(Place {
             version: terms.version.or(need.version),
@@ -125,30 +132,30 @@
             report_age: reported.map(|r| r.at.elapsed()),
             limit: known.limit.limit(),
             prompt_tokens: need.prompt_tokens,
-            chooser: Chooser::Alone,
+            chooser: Chooser::NoPeers,
             lease: None,
-            given: Instant::now(),
+            given_at: Instant::now(),
             began: false,
             replica,
             dispatcher: Weak::clone(&self.this),
         })
     }
 
-    /// Returns those of some replicas that could take a request.
-    fn offers<'a>(
+    /// Returns those of `replicas` that can take a request.
+    fn candidate_sets<'a>(
         &self,
         state: &mut State,
         view: &FactsView,
         need: &Need,
         kind: ChooserKind,
         replicas: impl IntoIterator<Item = &'a (Arc<Replica>, Standing)>,
-    ) -> Offers {
+    ) -> CandidateSets {
         let now = self.facts.now();
-        let layers = layers(view, need);
+        let layers = layer_count(view, need);
         let listed = view
             .of_service(&need.service)
             .any(|(_, standing)| *standing == Standing::Listed);
-        let mut offers = Offers::default();
+        let mut sets = CandidateSets::default();
         for (replica, standing) in replicas {
             if listed && *standing == Standing::Doubtful {
                 continue;
@@ -157,17 +164,18 @@
             let Some(terms) = terms else { continue };
             let candidate = self.candidate(state, view, need, kind, replica);
             let Some((candidate, fitness)) = candidate else { continue };
-            let offered = offers.of(fitness);
-            offered.candidates.push(candidate);
-            offered.replicas.push((Arc::clone(replica), terms));
+            let set = sets.get_mut(fitness);
+            set.candidates.push(candidate);
+            set.replicas.push((Arc::clone(replica), terms));
         }
-        offers
+        sets
     }
 
-    /// Returns a replica as a candidate, and what speaks against it; `None` if
-    /// it has just said that it had no room, if it is cold or rate-limited and
-    /// this entry has used its share, or if both it and the request have to be
-    /// kept apart from others that may end replicas.
+    /// Returns a replica as a candidate and its fitness. Returns `None` if it
+    /// recently declined a request for lack of capacity, if it is cold or
+    /// rate-limited and this entry has used up its share, or if it runs the
+    /// trial of a request suspected of crashing replicas and this request is a
+    /// trial too.
     fn candidate(
         &self,
         state: &mut State,
@@ -188,7 +196,7 @@
         let known =
             state.known.entry(Arc::clone(&replica.incarnation)).or_default();
         let now = self.facts.now();
-        let cold = known.meet(replica, now);
+        let cold = known.update_from_listing(replica, now);
         if known.is_cold(now)
             && let Some(pace) = self.cold_pace(view, kind, replica)
         {
@@ -221,11 +229,11 @@
         let suspected = need.suspicion.ended > 0;
         let shared = known.has_trial() || (suspected && known.has_suspect());
         let fitness = match known.health.is_available(self.facts.now()) {
-            true if shared => Fitness::Shared,
-            true => Fitness::Sound,
+            true if shared => Fitness::AtRisk,
+            true => Fitness::Healthy,
             false => Fitness::Failing,
         };
-        let room = self.evacuation_room(view, &replica.hall);
+        let room = self.evacuation_capacity(view, &replica.hall);
         let slots = (f64::from(replica.slots) * room) as u32;
         let latency = engine.map_or_else(
             || LatencyModel::plain(slots),
@@ -235,17 +243,18 @@
             load: known.load,
             latency,
             near,
-            queue: queue_room(slots, engine.is_some()),
+            queue: queue_capacity(slots, engine.is_some()),
             offset,
             link_delay_ms: known.delay_ms(),
             slowdown: known.slowdown(),
-            max_backlog_ms: BACKLOG_PART * objective.as_millis() as f64,
+            max_backlog_ms: MAX_BACKLOG_FRACTION
+                * objective.as_millis() as f64,
         };
         Some((candidate, fitness))
     }
 
-    /// Returns the pace at which this entry may choose a cold replica, or
-    /// `None` if it is not bounded.
+    /// Returns the maximum rate at which this entry may send to a cold
+    /// replica, or `None` if it is unlimited.
     fn cold_pace(
         &self,
         view: &FactsView,
@@ -260,19 +269,20 @@
 
     /// Returns the number of data halls whose entries choose replicas.
     fn hall_count(&self) -> usize {
-        self.bounds.regions.hall_count().unwrap_or(MOST_HALLS)
+        self.bounds.regions.hall_count().unwrap_or(DEFAULT_HALL_COUNT)
     }
 
-    /// Returns this entry's leaning towards a replica, from 0 to 1.
+    /// Returns this entry's fixed hash offset for a replica, from 0 to 1.
     fn offset(&self, incarnation: &str) -> f64 {
         let score = rank::score(self.instance.as_bytes(), incarnation);
         score as f64 / u64::MAX as f64
     }
 
-    /// Whether a replica that has changed may be one for a request that
-    /// waits: of its service, and sound. One that has failed of late is
-    /// looked at beside all others only.
-    fn may_fill(
+    /// Returns whether a replica whose state has changed can be considered on
+    /// its own for a queued request: it is of the request's service and has
+    /// not failed recently. Failing replicas are considered only in comparison
+    /// with all others.
+    fn can_serve_waiter(
         &self,
         state: &State,
         view: &FactsView,
@@ -286,15 +296,16 @@
     }
 }
 
-/// Returns how many layers the model has that a request needs.
-pub(super) fn layers(view: &FactsView, need: &Need) -> u32 {
+/// Returns the number of layers of the model that a request needs, or 0 for
+/// services without an engine.
+pub(super) fn layer_count(view: &FactsView, need: &Need) -> u32 {
     view.engine(&need.service).map_or(0, |engine| engine.layers)
 }
 
-/// Returns how many requests beyond its slots a replica may get.
+/// Returns how many requests may be queued at a replica beyond its slots.
 ///
-/// An engine's slot is free again after a whole generation, so no request
-/// waits for one there; a plain service's work is short.
-const fn queue_room(slots: u32, engine: bool) -> u32 {
+/// An engine frees a slot only after a whole generation, so nothing is queued
+/// there. The requests of other services are short.
+const fn queue_capacity(slots: u32, engine: bool) -> u32 {
     if engine { 0 } else { slots }
 }
--- a/crates/gateway/src/dispatch/hall.rs
+++ b/crates/gateway/src/dispatch/hall.rs
@@ -1,5 +1,4 @@
-//! What an entry knows of its hall's other entries, and places that one of
-//! them has given.
+//! The other entries of the hall, and places granted by its placer.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -14,19 +13,22 @@
 use crate::placing::{Chooser, Lease};
 
 impl Dispatcher {
-    /// Returns the entries that the agents of the own hall know of.
+    /// Returns the first-ranked entries of each hall, as reported by agents of
+    /// this hall.
     pub(crate) fn entries(&self) -> Arc<Vec<HallEntry>> {
         Arc::clone(&self.lock().entries)
     }
 
-    /// Returns the leading entries of the hall, the first to place in front.
+    /// Returns the leading entries of this hall, in the order in which they
+    /// are preferred as placer.
     pub(crate) fn leading_entries(&self) -> Arc<Vec<SocketAddr>> {
         Arc::clone(&self.lock().leading)
     }
 
-    /// Returns how many entries the fleet has, if agents have told of those of
-    /// the own hall: as many in each hall. Where halls differ, each hall's
-    /// entries share what is for one hall, and the sum is the same.
+    /// Returns an estimate of the number of entries in the fleet, or `None` if
+    /// no agent has reported those of this hall. All halls are assumed to have
+    /// the same number. If they differ, the entries of each hall still share
+    /// one hall's part of a limit, so the total over the fleet is the same.
     pub(crate) fn fleet_entries(&self) -> Option<usize> {
         let state = self.lock();
         self.fleet_entries_in(&state)
@@ -35,19 +37,22 @@
     /// Like [`Self::fleet_entries`], for callers that hold the lock.
     pub(super) fn fleet_entries_in(&self, state: &State) -> Option<usize> {
         let listening = state.listening;
-        let halls =
-            self.bounds.regions.hall_count().unwrap_or_else(|| self.halls());
+        let halls = self
+            .bounds
+            .regions
+            .hall_count()
+            .unwrap_or_else(|| self.replica_hall_count());
         (listening > 0).then_some(listening * halls.max(1))
     }
 
-    /// Returns how many data halls have replicas.
-    fn halls(&self) -> usize {
+    /// Returns the number of data halls that have replicas.
+    fn replica_hall_count(&self) -> usize {
         let view = self.facts.view();
         let halls = view.replicas.values().map(|(r, _)| &r.hall);
         halls.collect::<HashSet<_>>().len()
     }
 
-    /// Works out who the entries are after agents have told of others.
+    /// Recomputes the known and the leading entries from agents' reports.
     pub(super) fn rank_entries(&self, state: &mut State) {
         let mut entries: Vec<HallEntry> = Vec::new();
         let mut leading: Vec<SocketAddr> = Vec::new();
@@ -56,8 +61,8 @@
             let Some(reported) = &known.reported else { continue };
             entries.extend(reported.report.entries.iter().flatten().cloned());
             leading.extend(reported.report.leading.iter().flatten());
-            let told = reported.report.listening.unwrap_or_default();
-            listening = listening.max(told);
+            let count = reported.report.listening.unwrap_or_default();
+            listening = listening.max(count);
         }
         entries.sort_unstable();
         entries.dedup();
@@ -66,13 +71,13 @@
         state.entries = Arc::new(entries);
     }
 
-    /// Whether enough of the hall is known to place for others: half of the
-    /// engines that are listed there tell of themselves.
-    pub(crate) fn hears_hall(&self) -> bool {
+    /// Returns whether this entry knows enough to place requests for the hall:
+    /// it has recent reports from at least half of the listed engines there.
+    pub(crate) fn has_hall_reports(&self) -> bool {
         let view = self.facts.view();
         let state = self.lock();
         let mut listed = 0;
-        let mut heard = 0;
+        let mut reporting = 0;
         for (replica, standing) in view.replicas.values() {
             let near = replica.hall == self.hall;
             let sound = *standing == Standing::Listed;
@@ -82,19 +87,19 @@
             listed += 1;
             let known = state.known.get(&replica.incarnation);
             let reported = known.and_then(|k| k.reported.as_ref());
-            let hears = reported.is_some_and(|r| r.counts());
-            heard += usize::from(hears);
+            let is_reporting = reported.is_some_and(|r| r.is_fresh());
+            reporting += usize::from(is_reporting);
         }
-        heard * 2 >= listed
+        reporting * 2 >= listed
     }
 
-    /// Returns how many requests recent reports show at each replica.
+    /// Returns the number of requests at each replica with a recent report.
     pub(crate) fn reported_totals(&self) -> HashMap<Arc<str>, u32> {
         let state = self.lock();
         let mut totals = HashMap::new();
         for (incarnation, known) in &state.known {
             let Some(reported) = &known.reported else { continue };
-            if reported.counts() {
+            if reported.is_fresh() {
                 let total = reported.report.total();
                 totals.insert(Arc::clone(incarnation), total);
             }
@@ -124,8 +129,8 @@
         resting
     }
 
-    /// Takes a place that the placer has given, or returns `None` if by what
-    /// this entry knows the replica must not be used.
+    /// Takes a place that the placer has granted, or returns `None` if this
+    /// entry knows that the replica must not be used.
     pub(crate) fn adopt(
         &self,
         placed: Placed,
@@ -137,17 +142,18 @@
         let (replica, _) = view.replicas.get(&placed.replica)?;
         if replica.state == ReplicaState::Draining
             || !self.is_allowed(need, &replica.hall)
-            || self.evacuation_room(&view, &replica.hall) <= 0.0
+            || self.evacuation_capacity(&view, &replica.hall) <= 0.0
         {
             return None;
         }
         let now = self.facts.now();
-        let told =
+        let placer_bound =
             placed.begin_in_ms.map(|ms| now.after(Duration::from_millis(ms)));
-        let mut begin_by = told;
-        if let Some(since) = outdated(&view, need, placed.version) {
-            let own = self.begin_by(since, false, now)?;
-            begin_by = Some(told.map_or(own, |told| told.min(own)));
+        let mut begin_by = placer_bound;
+        if let Some(since) = outdated_since(&view, need, placed.version) {
+            let own_bound = self.begin_by(since, false, now)?;
+            begin_by =
+                Some(placer_bound.map_or(own_bound, |at| at.min(own_bound)));
         }
         let mut state = self.lock();
         let incarnation = Arc::clone(&replica.incarnation);
@@ -161,7 +167,7 @@
         if known.retry_after.remaining(now).is_some() {
             return None;
         }
-        known.given(need, now);
+        known.record_assigned(need, now);
         if placed.limit.is_none()
             && let Some((limit, at)) = known.limit.last_set()
         {
@@ -179,15 +185,15 @@
             chooser: Chooser::Placer(placer),
             lease: Some(lease),
             prompt_tokens: need.prompt_tokens,
-            given: Instant::now(),
+            given_at: Instant::now(),
             began: false,
             dispatcher: Weak::clone(&self.this),
         })
     }
 }
 
-/// Returns since when a version is outdated by what this entry knows.
-fn outdated(
+/// Returns the time at which a version became outdated, if it is.
+fn outdated_since(
     view: &FactsView,
     need: &Need,
     version: Option<u64>,
--- a/crates/gateway/src/dispatch/known.rs
+++ b/crates/gateway/src/dispatch/known.rs
@@ -1,4 +1,4 @@
-//! What an entry knows of one replica.
+//! The state that an entry keeps for each replica.
 
 use std::time::{Duration, Instant};
 
@@ -13,78 +13,82 @@
 
 use crate::report::EngineReport;
 
-/// An attempt that begins later than this makes its replica a slow one.
-pub(super) const SLOW: Duration = Duration::from_millis(700);
+/// A replica that takes longer than this to start a request counts as slow.
+pub(super) const SLOW_START: Duration = Duration::from_millis(700);
 
-/// What a slow replica costs against others, in milliseconds.
+/// The latency penalty of a slow replica in comparison with others, in
+/// milliseconds.
 const SLOW_COST_MS: f64 = 150.0;
 
-/// The delay of a probe that chunks usually make, in milliseconds.
+/// The usual delay of a link probe while chunks are transferred, in
+/// milliseconds.
 const USUAL_LINK_MS: u32 = 60;
 
-/// How long a replica counts as slow.
-const SLOW_COUNTS: Duration = Duration::from_secs(5);
+/// How long a replica counts as slow after a slow start or a failure.
+const SLOW_RETENTION: Duration = Duration::from_secs(5);
 
-/// How long a report counts.
-const REPORT_COUNTS: Duration = Duration::from_millis(1_500);
+/// How long a report is used after it was received or confirmed.
+const REPORT_VALIDITY: Duration = Duration::from_millis(1_500);
 
-/// A report that is older than this is late: agents say something twice a
-/// second though nothing has changed.
-const REPORT_LATE: Duration = Duration::from_millis(750);
+/// The age from which a report is late. Agents send a line at least twice a
+/// second, even if nothing has changed.
+const REPORT_LATE_AFTER: Duration = Duration::from_millis(750);
 
-/// The delay of a probe, in milliseconds, by which a link is full.
-const FULL_LINK_MS: u32 = 250;
+/// The probe delay above which a link counts as saturated, in milliseconds.
+const SATURATED_LINK_MS: u32 = 250;
 
-/// How long a replica that is not the one meant is left out. One that has
-/// crashed stays listed for three heartbeats, 3.6 s, beside the one that has
-/// its address; one whose list entry is late is listed within 2 s.
-const MISDIRECTED_COUNTS: Duration = Duration::from_millis(2_000);
+/// How long a replica is excluded after it answered that it is not the
+/// intended one or lacks the required version. A crashed replica stays listed
+/// for three heartbeats, 3.6 s, beside its successor at the same address; a
+/// late list entry arrives within 2 s.
+const MISDIRECTED_RETENTION: Duration = Duration::from_millis(2_000);
 
 /// How long the rate limit or leaving announcement of an unlisted replica is
 /// retained after it was last received. List entries can expire while the
 /// platform's store is unavailable.
 const NOTICE_RETENTION: Duration = Duration::from_secs(120);
 
-/// An agent's report and when it came.
+/// An agent's report and when it was last received or confirmed.
 #[derive(Debug)]
-pub(super) struct Reported {
+pub(super) struct ReceivedReport {
     pub report: EngineReport,
     pub at: Instant,
 }
 
-impl Reported {
-    /// Whether it is recent enough to count.
-    pub(super) fn counts(&self) -> bool {
-        self.at.elapsed() < REPORT_COUNTS
+impl ReceivedReport {
+    /// Returns whether the report is recent enough to be used.
+    pub(super) fn is_fresh(&self) -> bool {
+        self.at.elapsed() < REPORT_VALIDITY
     }
 }
 
-/// A replica's word that it is another one than was meant, or has another
-/// version.
+/// A replica's answer that it is not the intended one or does not have the
+/// required version.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Misdirected {
-    /// The version that it was to have, if any was insisted on.
+    /// The required version, if any.
     pub version: Option<u64>,
     pub at: Instant,
 }
 
-/// What an entry knows of one replica.
+/// The state that an entry keeps for one replica.
 #[derive(Debug, Default)]
-pub(super) struct Known {
-    /// When the process started of which this is known, if it tells.
+pub(super) struct KnownReplica {
+    /// The start time of the process that the state belongs to, if it was
+    /// announced.
     pub born: Option<u64>,
     pub load: Load,
     pub offset: Option<f64>,
     pub health: Health,
-    /// When it last failed, or took long to begin.
+    /// When it last failed or was slow to start a request.
     pub slow_at: Option<Instant>,
-    pub reported: Option<Reported>,
+    pub reported: Option<ReceivedReport>,
     pub full_until: Option<Instant>,
-    /// How long it was cold by its last entry, in milliseconds, and until
-    /// when.
+    /// The remaining cold time in its last list entry, in milliseconds.
     pub cold_ms: u64,
+    /// When it stops being cold.
     pub cold_until: Option<Time>,
-    /// What it was sent of late.
+    /// The requests that were recently sent to it.
     pub sent: SentWindow,
     /// Its rate limit, as last announced in its answers.
     pub limit: KnownLimit,
@@ -94,31 +98,34 @@
     pub retry_after: KnownRetryAfter,
     /// Whether its last notice was invalid.
     pub notice_invalid: bool,
-    /// What it last said not to be.
+    /// The last answer that it was not the intended replica.
     pub misdirected: Option<Misdirected>,
-    /// Until when it may end under a request that it was given.
+    /// Until when it may crash on a suspected request assigned to it.
     pub suspect_until: Option<Instant>,
-    /// Until when it may end under one that is a replica short of quarantine.
+    /// Until when it may crash on a trial run assigned to it: a request that
+    /// is quarantined if it crashes one more replica.
     pub trial_until: Option<Instant>,
 }
 
-impl Known {
-    /// Forgets what was held against an earlier process of the replica. The
-    /// requests there end by themselves, and its agent goes on.
+impl KnownReplica {
+    /// Resets the state if it belongs to an earlier process of the replica.
+    /// Counts of requests in progress are kept, because each request ends by
+    /// itself, and so is the report, because the agent keeps running.
     pub(super) fn reset_if_restarted(&mut self, replica: &Replica) {
         if self.born != replica.born {
-            self.begin_anew(replica);
+            self.reset(replica);
         }
     }
 
-    /// Whether this state belongs to the listed process of the replica.
+    /// Returns whether this state belongs to the listed process of the
+    /// replica.
     pub(super) fn matches_process(&self, replica: &Replica) -> bool {
         self.born == replica.born
     }
 
     /// Updates the state from the replica's list entry. Returns how long the
     /// replica is cold, in milliseconds, if it has just become cold.
-    pub(super) fn meet(
+    pub(super) fn update_from_listing(
         &mut self,
         replica: &Replica,
         now: Time,
@@ -151,24 +158,24 @@
         recent || self.retry_after.remaining(now).is_some()
     }
 
-    /// Whether it bears few requests now.
+    /// Returns whether the replica is cold and can handle few requests.
     pub(super) fn is_cold(&self, now: Time) -> bool {
         self.cold_until.is_some_and(|until| now < until)
     }
 
-    fn begin_anew(&mut self, replica: &Replica) {
-        *self = Known {
+    fn reset(&mut self, replica: &Replica) {
+        *self = KnownReplica {
             born: replica.born,
             load: self.load,
             offset: self.offset,
             reported: self.reported.take(),
             sent: std::mem::take(&mut self.sent),
-            ..Known::default()
+            ..KnownReplica::default()
         };
     }
 
-    /// Takes note of a request that it is given.
-    pub(super) fn given(&mut self, need: &Need, now: Time) {
+    /// Records that a request was assigned to the replica.
+    pub(super) fn record_assigned(&mut self, need: &Need, now: Time) {
         self.sent.record(now);
         self.load.own_pending += 1;
         self.load.own_pending_tokens += need.prompt_tokens;
@@ -181,19 +188,19 @@
         }
     }
 
-    /// Whether it has just been given a request that may end it.
+    /// Returns whether a request suspected of crashing replicas was recently
+    /// assigned to it.
     pub(super) fn has_suspect(&self) -> bool {
         self.suspect_until.is_some_and(|until| Instant::now() < until)
     }
 
-    /// Whether it has just been given a request that is a replica short of
-    /// quarantine.
+    /// Returns whether a trial run was recently assigned to it.
     pub(super) fn has_trial(&self) -> bool {
         self.trial_until.is_some_and(|until| Instant::now() < until)
     }
 
-    /// Returns how much longer than usual the way to it takes, as far as
-    /// known, in milliseconds.
+    /// Returns the known delay of the link to it beyond the usual one, in
+    /// milliseconds.
     pub(super) fn delay_ms(&self) -> f64 {
         let reported = self.reported.as_ref();
         let link = reported.map_or(0, |r| r.report.link_ms);
@@ -201,24 +208,28 @@
         slow.max(f64::from(link.saturating_sub(USUAL_LINK_MS)))
     }
 
-    /// Returns how many times slower than usual the engine says it is.
+    /// Returns the factor by which the engine is slower than usual, by its
+    /// agent's report.
     pub(super) fn slowdown(&self) -> f64 {
         let reported = self.reported.as_ref();
         reported.map_or(1.0, |r| f64::from(r.report.pace).max(1.0))
     }
 
-    /// Whether what is sent there may be long on its way: it was slow of
-    /// late, or its agent's reports, which come over the same link, are.
+    /// Returns whether requests may take long to reach it: it was slow
+    /// recently, its agent's reports, which use the same link, are late, or
+    /// the link is saturated.
     pub(super) fn is_slow(&self) -> bool {
         let late = self.reported.as_ref().is_none_or(|r| {
-            r.at.elapsed() > REPORT_LATE || r.report.link_ms > FULL_LINK_MS
+            r.at.elapsed() > REPORT_LATE_AFTER
+                || r.report.link_ms > SATURATED_LINK_MS
         });
         self.was_slow() || late
     }
 
-    /// Whether it has said that it is not the one meant, and nothing newer is
-    /// known. A report of another version is newer; one of the same version
-    /// tells that the address has passed to another replica.
+    /// Returns whether it recently answered that it is not the intended
+    /// replica and no later report shows a different version. A report of the
+    /// same version does not clear this: the address then belongs to another
+    /// replica.
     pub(super) fn is_misdirected(&self) -> bool {
         let Some(said) = self.misdirected else { return false };
         let newer = self.reported.as_ref().is_some_and(|r| {
@@ -226,11 +237,11 @@
                 && said.version.is_some()
                 && r.report.version != said.version
         });
-        !newer && said.at.elapsed() < MISDIRECTED_COUNTS
+        !newer && said.at.elapsed() < MISDIRECTED_RETENTION
     }
 
     fn was_slow(&self) -> bool {
-        self.slow_at.is_some_and(|at| at.elapsed() < SLOW_COUNTS)
+        self.slow_at.is_some_and(|at| at.elapsed() < SLOW_RETENTION)
     }
 }
 
--- a/crates/gateway/src/dispatch/known_tests.rs
+++ b/crates/gateway/src/dispatch/known_tests.rs
@@ -3,13 +3,13 @@
 use stairhinge::Time;
 use stairhinge::placing::RateLimit;
 
-use super::Known;
+use super::KnownReplica;
 
 /// Guards against dropping a rate limit too early or retaining it forever.
 #[test]
 fn a_rate_limit_is_retained_for_a_limited_time() {
     let at = Time::from_millis;
-    let mut known = Known::default();
+    let mut known = KnownReplica::default();
     assert!(!known.has_recent_notice(at(0)));
     let limit = RateLimit::new(2.0).unwrap();
     known.limit.update(Some(limit), at(0), at(1_000));
--- a/crates/gateway/src/dispatch/news.rs
+++ b/crates/gateway/src/dispatch/news.rs
@@ -1,4 +1,4 @@
-//! News between processes, as far as agents' reports carry them.
+//! Exchange of new routes and target versions through agents' reports.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,24 +9,25 @@
 use crate::report::EngineReport;
 
 impl Dispatcher {
-    /// Learns from a report which versions are named, and how long ago.
+    /// Records the target versions in a report and their ages.
     pub(crate) fn learn_targets(&self, report: &EngineReport) {
         if let Some(news) = &report.news {
             self.facts.learn_targets(&news.targets);
         }
     }
 
-    /// Returns the newest routes that any agent tells of.
+    /// Returns the news with the highest routes revision that any agent has
+    /// reported.
     pub(crate) fn newest_news(&self) -> Option<News> {
         let state = self.lock();
-        let told = state
+        let news = state
             .known
             .values()
             .filter_map(|k| k.reported.as_ref()?.report.news.as_ref());
-        told.max_by_key(|news| news.revision).cloned()
+        news.max_by_key(|news| news.revision).cloned()
     }
 
-    /// Returns where the engines of the own hall are.
+    /// Returns the addresses of the replicas with engines in this hall.
     pub(crate) fn local_engines(&self) -> Vec<SocketAddr> {
         let view = self.facts.view();
         let mut engines = Vec::new();
@@ -39,8 +40,8 @@
         engines
     }
 
-    /// Returns the replicas of the own hall that serve a version, by the
-    /// reports of their agents.
+    /// Returns the addresses of the replicas in this hall that serve a
+    /// version, by their agents' reports.
     pub(crate) fn serving_replicas(
         &self,
         model: &str,
@@ -65,9 +66,9 @@
         serving
     }
 
-    /// Returns the replicas whose agents should be told some news: all that
-    /// do not know of a version, and `most` of the own hall that do not know
-    /// of the routes.
+    /// Returns the addresses of the replicas whose agents should be sent some
+    /// news: all that lack a target version, and those that lack only the
+    /// routes among the first `most` of this hall.
     pub(crate) fn lagging_agents(
         &self,
         news: &News,
@@ -96,7 +97,8 @@
                 near.push((incarnation, replica.addr, theirs.revision));
             }
         }
-        // The same ones for all entries of the hall, so that few are told.
+        // Sorting makes all entries of the hall select the same agents, so
+        // that few are notified.
         near.sort_unstable();
         for (_, addr, revision) in near.into_iter().take(most) {
             if revision < news.revision {
--- a/crates/gateway/src/dispatch/outcome.rs
+++ b/crates/gateway/src/dispatch/outcome.rs
@@ -1,20 +1,20 @@
-//! What an entry notes of a replica as its requests there go on and end.
+//! Updates of a replica's state as requests there start and end.
 
 use std::time::{Duration, Instant};
 
 use stairhinge_shell::decisions::Decision;
 
-use super::known::{Misdirected, SLOW};
-use super::{Dispatcher, FULL, Place};
+use super::known::{Misdirected, SLOW_START};
+use super::{Dispatcher, FULL_BACKOFF, Place};
 
 impl Dispatcher {
-    pub(super) fn succeeded(&self, incarnation: &str) {
+    pub(super) fn record_success(&self, incarnation: &str) {
         if let Some(known) = self.lock().known.get_mut(incarnation) {
             known.health.record_success();
         }
     }
 
-    pub(super) fn failed(&self, incarnation: &str) {
+    pub(super) fn record_failure(&self, incarnation: &str) {
         let now = self.facts.now();
         let (failures, span) = {
             let mut state = self.lock();
@@ -30,37 +30,45 @@
         });
     }
 
-    pub(super) fn full(&self, incarnation: &str) {
+    pub(super) fn record_full(&self, incarnation: &str) {
         if let Some(known) = self.lock().known.get_mut(incarnation) {
-            known.full_until = Some(Instant::now() + FULL);
+            known.full_until = Some(Instant::now() + FULL_BACKOFF);
         }
     }
 
-    /// Leaves a replica that sent `Retry-After` out like one that fails, for
-    /// `retry_after` at most. The period starts short, because the replica may
+    /// Excludes a replica that sent `Retry-After` like a failing one, for at
+    /// most `retry_after`. The period starts short, because the replica may
     /// still accept requests from other entries.
-    pub(super) fn rejected(&self, incarnation: &str, retry_after: Duration) {
+    pub(super) fn record_retry_after(
+        &self,
+        incarnation: &str,
+        retry_after: Duration,
+    ) {
         let now = self.facts.now();
         if let Some(known) = self.lock().known.get_mut(incarnation) {
             known.health.record_failure_capped(retry_after, now);
         }
     }
 
-    pub(super) fn misdirected(&self, incarnation: &str, version: Option<u64>) {
+    pub(super) fn record_misdirected(
+        &self,
+        incarnation: &str,
+        version: Option<u64>,
+    ) {
         if let Some(known) = self.lock().known.get_mut(incarnation) {
             let at = Instant::now();
             known.misdirected = Some(Misdirected { version, at });
         }
     }
 
-    pub(super) fn begin(
+    pub(super) fn record_begin(
         &self,
         incarnation: &str,
         tokens: u32,
         took: Duration,
     ) {
         if let Some(known) = self.lock().known.get_mut(incarnation) {
-            if took > SLOW {
+            if took > SLOW_START {
                 known.slow_at = Some(Instant::now());
             }
             let load = &mut known.load;
@@ -71,7 +79,7 @@
         }
     }
 
-    pub(super) fn release(&self, place: &Place) {
+    pub(super) fn release_place(&self, place: &Place) {
         let incarnation = &place.replica.incarnation;
         if let Some(known) = self.lock().known.get_mut(incarnation) {
             let load = &mut known.load;
--- a/crates/gateway/src/dispatch/place.rs
+++ b/crates/gateway/src/dispatch/place.rs
@@ -1,4 +1,4 @@
-//! The place at a replica that a request gets.
+//! The place that a request occupies at a replica.
 
 use std::sync::{Arc, Weak};
 use std::time::{Duration, Instant};
@@ -11,50 +11,51 @@
 use crate::dialect::ReplicaNotice;
 use crate::placing::{Chooser, Lease};
 
-/// A place at a replica; dropping it gives the place back.
+/// A place at a replica, released on drop.
 #[derive(Debug)]
 pub(crate) struct Place {
     pub replica: Arc<Replica>,
-    /// The version to insist on, if any.
+    /// The version that the replica is required to have, if any.
     pub version: Option<u64>,
-    /// When the replica has to have begun, lest it begins on a version whose
-    /// time is over.
+    /// The time by which the replica has to start the request, so that it does
+    /// not run on an expired version.
     pub begin_by: Option<Time>,
-    /// Requests known at the replica, and the age of the report of it.
+    /// The number of requests known to be at the replica.
     pub load: u32,
-    /// How much longer than usual the way there takes, in milliseconds.
+    /// The delay of the link beyond the usual one, in milliseconds.
     pub delay_ms: u64,
+    /// The age of the agent's report that `load` is based on.
     pub report_age: Option<Duration>,
     /// The replica's rate limit, if the chooser knew of one.
     pub limit: Option<RateLimit>,
-    /// Who chose the replica.
+    /// Which process chose the replica, and why.
     pub chooser: Chooser,
-    /// What a placer is told of the place's use, if one gave it.
+    /// The lease from the placer, if the placer granted the place.
     pub(super) lease: Option<Lease>,
     pub(super) prompt_tokens: u32,
-    pub(super) given: Instant,
+    pub(super) given_at: Instant,
     pub(super) began: bool,
     pub(super) dispatcher: Weak<Dispatcher>,
 }
 
 impl Place {
-    /// Notes that the replica has begun to answer.
-    pub(crate) fn begin(&mut self) {
-        self.begin_after(self.given.elapsed());
+    /// Records that the replica has started to answer.
+    pub(crate) fn record_begin(&mut self) {
+        self.record_begin_after(self.given_at.elapsed());
     }
 
-    /// Notes that the replica has begun to answer so long after the place
-    /// was given.
-    pub(crate) fn begin_after(&mut self, took: Duration) {
+    /// Records that the replica has started to answer `took` after the place
+    /// was granted.
+    pub(crate) fn record_begin_after(&mut self, took: Duration) {
         if std::mem::replace(&mut self.began, true) {
             return;
         }
         if let Some(lease) = &self.lease {
-            lease.began(took);
+            lease.report_began(took);
         }
         if let Some(dispatcher) = self.dispatcher.upgrade() {
             let tokens = self.prompt_tokens;
-            dispatcher.begin(&self.replica.incarnation, tokens, took);
+            dispatcher.record_begin(&self.replica.incarnation, tokens, took);
         }
     }
 
@@ -77,9 +78,10 @@
         }
         if let Ok(Some(retry_after)) = notice.retry_after {
             let retry_after = retry_after.duration();
-            dispatcher.rejected(&self.replica.incarnation, retry_after);
+            dispatcher
+                .record_retry_after(&self.replica.incarnation, retry_after);
             if let Some(lease) = &self.lease {
-                lease.report_rejected(retry_after);
+                lease.report_retry_after(retry_after);
             }
         }
         let incarnation = &self.replica.incarnation;
@@ -122,25 +124,25 @@
 
     /// Applies the replica's `Retry-After` as reported by the entry that uses
     /// the place.
-    pub(crate) fn apply_rejected(&self, retry_after: Duration) {
+    pub(crate) fn apply_retry_after(&self, retry_after: Duration) {
         let Some(dispatcher) = self.dispatcher.upgrade() else { return };
-        dispatcher.rejected(&self.replica.incarnation, retry_after);
+        dispatcher.record_retry_after(&self.replica.incarnation, retry_after);
     }
 
-    /// Notes what the request brought, as far as it tells of the replica.
+    /// Records what the outcome of the request shows about the replica.
     pub(crate) fn record_outcome(&mut self, outcome: Outcome) {
         if let Some(lease) = &mut self.lease {
-            lease.note(outcome);
+            lease.set_outcome(outcome);
         }
         let Some(dispatcher) = self.dispatcher.upgrade() else { return };
         let incarnation = &self.replica.incarnation;
         match outcome {
             Outcome::Unknown => {}
-            Outcome::Succeeded => dispatcher.succeeded(incarnation),
-            Outcome::Failed => dispatcher.failed(incarnation),
-            Outcome::Full => dispatcher.full(incarnation),
+            Outcome::Succeeded => dispatcher.record_success(incarnation),
+            Outcome::Failed => dispatcher.record_failure(incarnation),
+            Outcome::Full => dispatcher.record_full(incarnation),
             Outcome::Misdirected => {
-                dispatcher.misdirected(incarnation, self.version);
+                dispatcher.record_misdirected(incarnation, self.version);
             }
         }
     }
@@ -149,7 +151,7 @@
 impl Drop for Place {
     fn drop(&mut self) {
         if let Some(dispatcher) = self.dispatcher.upgrade() {
-            dispatcher.release(self);
+            dispatcher.release_place(self);
         }
     }
 }
--- a/crates/gateway/src/dispatch/queue.rs
+++ b/crates/gateway/src/dispatch/queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a replica with room.
+//! The queue of requests that wait for a replica with capacity.
 
 use std::time::Duration;
 
@@ -7,72 +7,77 @@
 
 use super::Place;
 
-/// What a request found.
+/// The result of a request for a place.
 #[derive(Debug)]
-pub(crate) enum Found {
-    /// A place.
+pub(crate) enum PlaceResult {
+    /// A place at a replica.
     Place(Place),
-    /// No room now; a place may follow.
-    Waits(Waiting),
-    /// No place.
-    Nothing(NoPlaceReason),
+    /// No capacity now; the request is queued.
+    Queued(PendingPlace),
+    /// No place can be granted.
+    NoPlace(NoPlaceReason),
 }
 
-/// A request that waits.
+/// The place that a queued request may get.
 #[derive(Debug)]
-pub(crate) struct Waiting(oneshot::Receiver<Place>);
+pub(crate) struct PendingPlace(oneshot::Receiver<Place>);
 
-impl Waiting {
-    /// Waits for a place.
-    pub(crate) async fn within(mut self, wait: Duration) -> Option<Place> {
-        match tokio::time::timeout(wait, &mut self.0).await {
+impl PendingPlace {
+    /// Waits for a place, for at most `timeout`.
+    pub(crate) async fn wait(mut self, timeout: Duration) -> Option<Place> {
+        match tokio::time::timeout(timeout, &mut self.0).await {
             Ok(found) => found.ok(),
             Err(_) => {
                 self.0.close();
-                // One may have come in the same moment.
+                // A place may have been sent just before the channel closed.
                 self.0.try_recv().ok()
             }
         }
     }
 }
 
-/// One who waits, in the queue.
+/// A queued request.
 #[derive(Debug)]
 pub(super) struct Waiter {
     pub need: Need,
     pub kind: ChooserKind,
-    pub found: oneshot::Sender<Place>,
+    pub sender: oneshot::Sender<Place>,
 }
 
-/// Those who wait, the most urgent and then the first to come in front.
+/// Queued requests, ordered by urgency and then by arrival.
 ///
-/// One place of each [`Queue::FAIR`] goes to a less urgent kind, by turns:
-/// under lasting overload they would get none at all.
+/// One place in [`Queue::FAIR_SHARE_INTERVAL`] goes to the less urgent classes
+/// in turn. Otherwise they would be starved under sustained overload.
 #[derive(Debug, Default)]
 pub(super) struct Queue {
     waiters: Vec<Waiter>,
-    /// Places given to those who waited.
-    given: u32,
+    /// The number of places granted to queued requests.
+    granted: u32,
 }
 
 impl Queue {
-    /// Of so many places one goes to a less urgent kind.
-    pub(super) const FAIR: u32 = 8;
+    /// The number of places of which one goes to a less urgent class.
+    pub(super) const FAIR_SHARE_INTERVAL: u32 = 8;
 
-    /// Returns whether somebody who waits goes before a request.
-    pub(super) fn goes_before(&self, need: &Need) -> bool {
+    /// Returns whether a queued request of the same service is served before
+    /// `need`.
+    pub(super) fn has_waiter_ahead_of(&self, need: &Need) -> bool {
         self.waiters.iter().any(|w| {
             w.need.service == need.service
                 && w.need.urgency() <= need.urgency()
-                && !w.found.is_closed()
+                && !w.sender.is_closed()
         })
     }
 
-    /// Adds a request.
-    pub(super) fn join(&mut self, need: Need, kind: ChooserKind) -> Waiting {
-        let (found, receiver) = oneshot::channel();
-        self.insert(Waiter { need, kind, found });
-        Waiting(receiver)
+    /// Adds a request to the queue.
+    pub(super) fn join(
+        &mut self,
+        need: Need,
+        kind: ChooserKind,
+    ) -> PendingPlace {
+        let (sender, receiver) = oneshot::channel();
+        self.insert(Waiter { need, kind, sender });
+        PendingPlace(receiver)
     }
 
     fn insert(&mut self, waiter: Waiter) {
@@ -81,50 +86,52 @@
         self.waiters.insert(at, waiter);
     }
 
-    /// Takes out all who still wait, in the order in which they are to get a
-    /// place.
-    pub(super) fn take(&mut self) -> Vec<Waiter> {
+    /// Removes and returns all requests that still wait, in the order in which
+    /// they are to be served.
+    pub(super) fn take_waiters(&mut self) -> Vec<Waiter> {
         let mut waiters = std::mem::take(&mut self.waiters);
-        waiters.retain(|w| !w.found.is_closed());
-        if let Some(first) = self.fair_turn(&waiters) {
+        waiters.retain(|w| !w.sender.is_closed());
+        if let Some(first) = self.fair_share_index(&waiters) {
             waiters[..=first].rotate_right(1);
         }
         waiters
     }
 
-    /// Returns the index of the waiter that gets this place before all that
-    /// are more urgent, if it is a turn of the less urgent kinds.
-    fn fair_turn(&self, waiters: &[Waiter]) -> Option<usize> {
-        if self.given % Queue::FAIR != Queue::FAIR - 1 {
+    /// Returns the index of the waiter that gets this place before all more
+    /// urgent ones, if the place is due to a less urgent class.
+    fn fair_share_index(&self, waiters: &[Waiter]) -> Option<usize> {
+        if self.granted % Queue::FAIR_SHARE_INTERVAL
+            != Queue::FAIR_SHARE_INTERVAL - 1
+        {
             return None;
         }
-        let mut firsts = Vec::new();
+        let mut class_starts = Vec::new();
         for (at, waiter) in waiters.iter().enumerate() {
             let urgency = waiter.need.urgency();
             if at > 0 && waiters[at - 1].need.urgency() != urgency {
-                firsts.push(at);
+                class_starts.push(at);
             }
         }
-        let turn = (self.given / Queue::FAIR) as usize;
-        firsts.get(turn.checked_rem(firsts.len())?).copied()
+        let turn = (self.granted / Queue::FAIR_SHARE_INTERVAL) as usize;
+        class_starts.get(turn.checked_rem(class_starts.len())?).copied()
     }
 
-    /// Puts one back.
-    pub(super) fn keep(&mut self, waiter: Waiter) {
+    /// Returns a request to the queue.
+    pub(super) fn put_back(&mut self, waiter: Waiter) {
         self.insert(waiter);
     }
 
-    /// Counts a place that one who waited has got.
-    pub(super) const fn note_given(&mut self) {
-        self.given = self.given.wrapping_add(1);
+    /// Counts a place granted to a queued request.
+    pub(super) const fn record_grant(&mut self) {
+        self.granted = self.granted.wrapping_add(1);
     }
 
-    /// Returns whether nobody waits.
+    /// Returns whether the queue is empty.
     pub(super) const fn is_empty(&self) -> bool {
         self.waiters.is_empty()
     }
 
-    /// Returns how many wait.
+    /// Returns the number of queued requests.
     pub(super) const fn len(&self) -> usize {
         self.waiters.len()
     }
--- a/crates/gateway/src/dispatch/queue_tests.rs
+++ b/crates/gateway/src/dispatch/queue_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of who gets the next place.
+//! Tests for the order in which queued requests get places.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 use stairhinge::placing::{ChooserKind, Need};
 use stairhinge::poison::Suspicion;
 
-use super::{Queue, Waiting};
+use super::{PendingPlace, Queue};
 
 fn need(priority: u8, route_priority: u8) -> Need {
     Need {
@@ -25,61 +25,71 @@
     }
 }
 
-fn join(queue: &mut Queue, priority: u8, route: u8) -> Waiting {
+fn join(queue: &mut Queue, priority: u8, route: u8) -> PendingPlace {
     queue.join(need(priority, route), ChooserKind::Placer)
 }
 
-/// Gives places one at a time while each kind always has some that wait, and
-/// returns how many each kind got.
-fn give(queue: &mut Queue, kinds: &[(u8, u8)], places: u32) -> Vec<u32> {
+/// Grants places one at a time while each class always has queued requests,
+/// and returns the number of places that each class got.
+fn grant_places(
+    queue: &mut Queue,
+    classes: &[(u8, u8)],
+    places: u32,
+) -> Vec<u32> {
     let mut got: HashMap<(u8, u8), u32> = HashMap::new();
     let mut waiting = Vec::new();
     for _ in 0..places {
-        for (priority, route) in kinds {
+        for (priority, route) in classes {
             waiting.push(join(queue, *priority, *route));
         }
-        let mut all = queue.take().into_iter();
+        let mut all = queue.take_waiters().into_iter();
         let first = all.next().unwrap();
         *got.entry(first.need.urgency()).or_default() += 1;
-        queue.note_given();
-        all.for_each(|waiter| queue.keep(waiter));
+        queue.record_grant();
+        all.for_each(|waiter| queue.put_back(waiter));
     }
-    kinds.iter().map(|kind| got.get(kind).copied().unwrap_or(0)).collect()
+    classes.iter().map(|class| got.get(class).copied().unwrap_or(0)).collect()
 }
 
 #[test]
-fn a_workspaces_priority_goes_first_and_then_the_routes() {
+fn orders_by_workspace_priority_then_route_priority() {
     let mut queue = Queue::default();
     let order = [(1, 2), (0, 3), (1, 0), (1, 2)];
-    let _waiting: Vec<Waiting> =
+    let _waiting: Vec<PendingPlace> =
         order.iter().map(|(p, r)| join(&mut queue, *p, *r)).collect();
-    let taken = queue.take();
+    let taken = queue.take_waiters();
     let order: Vec<(u8, u8)> =
         taken.iter().map(|w| w.need.urgency()).collect();
     assert_eq!(order, [(0, 3), (1, 0), (1, 2), (1, 2)]);
-    assert!(!queue.goes_before(&need(9, 9)), "all are taken out");
-    taken.into_iter().for_each(|waiter| queue.keep(waiter));
-    assert!(queue.goes_before(&need(1, 2)));
-    assert!(!queue.goes_before(&need(0, 2)), "it is the most urgent");
+    assert!(
+        !queue.has_waiter_ahead_of(&need(9, 9)),
+        "take_waiters left requests in the queue"
+    );
+    taken.into_iter().for_each(|waiter| queue.put_back(waiter));
+    assert!(queue.has_waiter_ahead_of(&need(1, 2)));
+    assert!(
+        !queue.has_waiter_ahead_of(&need(0, 2)),
+        "a less urgent waiter goes first"
+    );
 }
 
 #[test]
-fn under_lasting_overload_each_less_urgent_kind_gets_a_share() {
+fn less_urgent_classes_get_a_share_under_sustained_overload() {
     let mut queue = Queue::default();
-    let kinds = [(1, 0), (1, 1), (1, 2)];
-    let got = give(&mut queue, &kinds, 80);
+    let classes = [(1, 0), (1, 1), (1, 2)];
+    let got = grant_places(&mut queue, &classes, 80);
     assert_eq!(got, [70, 5, 5]);
-    let got = give(&mut Queue::default(), &kinds[1..], 80);
+    let got = grant_places(&mut Queue::default(), &classes[1..], 80);
     assert_eq!(got, [70, 10]);
 }
 
 #[test]
-fn who_has_gone_gets_no_place() {
+fn cancelled_waiters_get_no_place() {
     let mut queue = Queue::default();
     drop(join(&mut queue, 0, 0));
     let _waits = join(&mut queue, 1, 0);
-    assert!(queue.goes_before(&need(1, 0)));
-    let taken = queue.take();
+    assert!(queue.has_waiter_ahead_of(&need(1, 0)));
+    let taken = queue.take_waiters();
     assert_eq!(taken.len(), 1);
     assert_eq!(taken[0].need.urgency(), (1, 0));
 }
--- a/crates/gateway/src/dispatch/terms.rs
+++ b/crates/gateway/src/dispatch/terms.rs
@@ -1,4 +1,4 @@
-//! Whether a replica may take a request, and on which terms.
+//! Whether a replica may take a request, and under which conditions.
 
 use std::time::Duration;
 
@@ -7,32 +7,34 @@
 use stairhinge::placing::Need;
 use stairhinge_shell::directory::FactsView;
 
-use super::known::Known;
+use super::known::KnownReplica;
 use super::{Dispatcher, State};
 
-/// How much sooner than the bound old versions get nothing more: what is
-/// sent then may still have to wait at the replica.
+/// How long before the version bound replicas with an outdated version stop
+/// getting requests, which may still have to wait at the replica.
 const VERSION_MARGIN: Duration = Duration::from_millis(900);
 
-/// How long before the bound an attempt is called back that has not begun:
-/// the call takes its time too.
-const CALL_BACK: Duration = Duration::from_millis(300);
+/// How long before the version bound an attempt that has not started is
+/// cancelled, which leaves time for the cancellation to reach the replica.
+const CANCEL_MARGIN: Duration = Duration::from_millis(300);
 
-/// How much sooner than others a replica that has been slow gets nothing
-/// more for an old version; what it is sent may be long on its way.
+/// Like [`VERSION_MARGIN`], for slow replicas, which requests may take long
+/// to reach.
 const SLOW_MARGIN: Duration = Duration::from_millis(3_000);
 
-/// On which terms a replica may take a request.
+/// The conditions under which a replica may take a request.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Terms {
-    /// The version to insist on, if any.
+    /// The version that the replica is required to have, if any.
     pub version: Option<u64>,
-    /// When it has to have begun, if its version's time is ending.
+    /// The time by which it has to start the request, if its version is
+    /// outdated.
     pub begin_by: Option<Time>,
 }
 
 impl Dispatcher {
-    /// Returns on which terms a replica may take the request, if at all.
+    /// Returns the conditions under which a replica may take the request, or
+    /// `None` if it may not.
     pub(super) fn terms(
         &self,
         state: &State,
@@ -48,7 +50,7 @@
             return None;
         }
         if !self.is_allowed(need, &replica.hall)
-            || self.evacuation_room(view, &replica.hall) <= 0.0
+            || self.evacuation_capacity(view, &replica.hall) <= 0.0
         {
             return None;
         }
@@ -64,7 +66,7 @@
             return Some(Terms::default());
         };
         let reported =
-            known.and_then(|k| k.reported.as_ref()).filter(|r| r.counts());
+            known.and_then(|k| k.reported.as_ref()).filter(|r| r.is_fresh());
         if reported.is_some_and(|r| !r.report.up || r.report.loading) {
             return None;
         }
@@ -81,31 +83,36 @@
         let Some(newest) = view.targets.since(model) else {
             return Some(Terms::default());
         };
-        let slow = known.is_none_or(Known::is_slow);
+        let slow = known.is_none_or(KnownReplica::is_slow);
         let begin_by = match view.targets.outdated_since(model, held) {
             None => None,
             Some(since) => Some(self.begin_by(since, slow, now)?),
         };
-        // A replica that changes just now has to decline what is meant for
-        // the version that it held; while all is well nobody changes.
+        // A replica that changes its version now has to decline requests for
+        // the previous one. Long after the last target no replica changes, so
+        // none is required.
         let insist = now.since(newest) < self.bounds.version * 2;
         Some(Terms { version: insist.then_some(held), begin_by })
     }
 
-    /// Returns whether a request may be served in a hall.
+    /// Returns whether the request's regions include that of a hall.
     pub(super) fn is_allowed(&self, need: &Need, hall: &str) -> bool {
         need.regions.allows(self.bounds.regions.region(hall))
     }
 
-    /// Returns the part of a hall's room that may be used: 1 unless the hall
-    /// is evacuated.
-    pub(super) fn evacuation_room(&self, view: &FactsView, hall: &str) -> f64 {
+    /// Returns the fraction of a hall's capacity that may be used, which is 1
+    /// unless the hall is being evacuated.
+    pub(super) fn evacuation_capacity(
+        &self,
+        view: &FactsView,
+        hall: &str,
+    ) -> f64 {
         let Some(since) = view.evacuations.since(hall) else { return 1.0 };
         self.bounds.evacuation.capacity_fraction(since, self.facts.now())
     }
 
-    /// Returns until when a request may begin on a version outdated since
-    /// `since`, or `None` if nothing more may be sent to it.
+    /// Returns the time by which a request must start on a version outdated
+    /// since `since`, or `None` if no more requests may be sent to it.
     pub(super) fn begin_by(
         &self,
         since: Time,
@@ -117,6 +124,6 @@
         if now >= since.after(bound.saturating_sub(margin)) {
             return None;
         }
-        Some(since.after(bound.saturating_sub(CALL_BACK)))
+        Some(since.after(bound.saturating_sub(CANCEL_MARGIN)))
     }
 }
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -42,7 +42,7 @@
 use crate::settings::EntrySettings;
 
 /// A time limit that nobody named.
-const DEFAULT_PATIENCE: Duration = Duration::from_secs(60);
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Forwards the requests of one entry.
 pub(crate) struct Forwarder {
@@ -54,7 +54,7 @@
     pub metrics: Arc<EntryMetrics>,
     pub pool: Pool,
     pub poison: Arc<PoisonWatch>,
-    shares: Mutex<HashMap<Arc<str>, RetryShare>>,
+    retry_shares: Mutex<HashMap<Arc<str>, RetryShare>>,
     shutdown: Shutdown,
 }
 
@@ -116,7 +116,7 @@
             dialect,
             metrics,
             pool: Pool::default(),
-            shares: Mutex::default(),
+            retry_shares: Mutex::default(),
             shutdown,
         }
     }
@@ -196,7 +196,7 @@
             .service(rand::rng().random())
             .map(Arc::clone)
             .ok_or_else(|| Error::new(Code::NoBackend, "no destination"))?;
-        let patience = caller.patience.unwrap_or(DEFAULT_PATIENCE);
+        let patience = caller.patience.unwrap_or(DEFAULT_TIMEOUT);
         let deadline = started + patience.min(route.timeout());
         let most = self.settings.get().body_bytes;
         let within = deadline.saturating_duration_since(Instant::now());
@@ -223,7 +223,8 @@
             fingerprint: OnceLock::new(),
         });
         self.share(&context.service, |s| s.record_request(self.facts.now()));
-        let answered = Arc::clone(&self).attempts(Arc::clone(&context)).await;
+        let answered =
+            Arc::clone(&self).run_attempts(Arc::clone(&context)).await;
         if answered.is_err() {
             self.poison.record_give_up(&context);
         }
@@ -231,7 +232,7 @@
     }
 
     /// Passes an answer on: a stream as it comes, all else once it is whole.
-    async fn pass_on(
+    async fn relay_answer(
         self: &Arc<Self>,
         context: &Arc<RequestContext>,
         answered: Answered,
@@ -319,7 +320,7 @@
         let window = Duration::from_secs_f64(bound.window_s);
         let entries = self.dispatcher.fleet_entries();
         let mut shares =
-            self.shares.lock().unwrap_or_else(PoisonError::into_inner);
+            self.retry_shares.lock().unwrap_or_else(PoisonError::into_inner);
         let share = shares.entry(Arc::clone(service)).or_default();
         share.set_limits(window, bound.ratio, bound.minimum, entries);
         act(share)
--- a/crates/gateway/src/forward/attempts.rs
+++ b/crates/gateway/src/forward/attempts.rs
@@ -21,7 +21,7 @@
 /// How long a request may wait for a replica with room, as a part of its
 /// objective: its caller can still come back and be in time. A replica's slot
 /// gets free in a hall of 24 engines each 6 ms.
-const WAIT_PART: u32 = 8;
+const WAIT_DIVISOR: u32 = 8;
 
 /// An attempt that did not end well.
 pub(crate) struct FailedAttempt {
@@ -36,7 +36,7 @@
     /// Sends a request to one replica after the other. If none does better,
     /// the caller gets the failure that a replica answered, as it is: it tells
     /// more than that the backend was lost.
-    pub(super) async fn attempts(
+    pub(super) async fn run_attempts(
         self: Arc<Self>,
         context: Arc<RequestContext>,
     ) -> Result<Response<Body>, Failed> {
@@ -73,7 +73,7 @@
                 match self.send(context, place, attempt, after).await {
                     Ok(answered) => {
                         let passed =
-                            self.pass_on(context, answered, suspicion);
+                            self.relay_answer(context, answered, suspicion);
                         match passed.await {
                             Ok(response) => return Ok(response),
                             Err(error) => error,
@@ -138,27 +138,28 @@
         ran: bool,
     ) -> Result<Place, Failed> {
         let from = Instant::now();
-        let until =
-            context.deadline.min(from + context.route.objective() / WAIT_PART);
+        let until = context
+            .deadline
+            .min(from + context.route.objective() / WAIT_DIVISOR);
         let left = context.remaining();
         let found = self.placing.place(need.clone(), until, left).await;
         self.metrics.waited(from.elapsed().as_secs_f64());
-        let lack = match found {
+        let reason = match found {
             Ok(place) => return Ok(place),
-            Err(lack) => lack,
+            Err(reason) => reason,
         };
         let count = self.log_no_replica(context, need, from);
         if ran {
-            return Err(Failed::new(Error::new(Code::LostBackend, lack)));
+            return Err(Failed::new(Error::new(Code::LostBackend, reason)));
         }
-        let (code, shortage) = match lack {
+        let (code, shortage) = match reason {
             NoPlaceReason::Room => (Code::NoBackend, Shortage::NoCapacity),
             NoPlaceReason::Replica => {
                 (Code::NoBackend, no_replica_shortage(&count))
             }
             NoPlaceReason::Region => (Code::NoRegion, Shortage::NoReplica),
         };
-        Err(refused(Error::new(code, lack), shortage))
+        Err(refused(Error::new(code, reason), shortage))
     }
 
     /// Looks at a replica from which no whole answer came: whether its process
@@ -179,7 +180,7 @@
         if !has_ended(replica.addr).await {
             return (Some(false), sent);
         }
-        let known = self.poison.ended_under(context, replica, sent);
+        let known = self.poison.record_crash(context, replica, sent);
         (Some(true), known)
     }
 }
--- a/crates/gateway/src/forward/refuse.rs
+++ b/crates/gateway/src/forward/refuse.rs
@@ -27,7 +27,7 @@
         }
         let status = response.status().as_u16();
         let code = failed.error().code();
-        let age = self.facts.routes_age().filter(|_| by_routes(code));
+        let age = self.facts.routes_age().filter(|_| depends_on_routes(code));
         let code = code.number();
         self.metrics.ended(status, code);
         self.facts.log().write(&Decision::Ended {
@@ -45,7 +45,7 @@
 }
 
 /// Whether the routes in force decide that a request is refused.
-const fn by_routes(code: Code) -> bool {
+const fn depends_on_routes(code: Code) -> bool {
     matches!(code, Code::UnknownRoute | Code::UnknownKey | Code::MissingKey)
 }
 
--- a/crates/gateway/src/forward/send.rs
+++ b/crates/gateway/src/forward/send.rs
@@ -22,7 +22,7 @@
 
 /// How long a repeatable request may wait for the head of its answer before
 /// another replica is tried.
-const HEAD_PATIENCE: Duration = Duration::from_millis(1_500);
+const HEAD_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 impl Forwarder {
     /// Sends one attempt and waits for the head of its answer.
@@ -52,12 +52,12 @@
         let at = Instant::now();
         let sent_at = self.facts.now();
         let request = self.request(context, &place, left, after_event);
-        let mut patience = if never { left } else { left.min(HEAD_PATIENCE) };
+        let mut timeout = if never { left } else { left.min(HEAD_TIMEOUT) };
         if let Some(begin_by) = place.begin_by {
-            patience = patience.min(begin_by.since(self.facts.now()));
+            timeout = timeout.min(begin_by.since(self.facts.now()));
         }
         let sent = connection.send(request);
-        let response = match tokio::time::timeout(patience, sent).await {
+        let response = match tokio::time::timeout(timeout, sent).await {
             Ok(Ok(response)) => response,
             Ok(Err(error)) => {
                 place.record_outcome(Outcome::Failed);
@@ -65,7 +65,7 @@
             }
             Err(_) => {
                 place.record_outcome(Outcome::Failed);
-                let why = format!("no answer in {} ms", patience.as_millis());
+                let why = format!("no answer in {} ms", timeout.as_millis());
                 return Err(AttemptError::new(AttemptResult::NoResponse, why));
             }
         };
@@ -76,7 +76,7 @@
         }
         match judgement {
             Judgement::Answer { version } => {
-                place.begin();
+                place.record_begin();
                 let upstream =
                     Upstream { body, connection, place, sent: at, version };
                 Ok(Answered { head, upstream })
@@ -107,10 +107,10 @@
         head: response::Parts,
         body: Incoming,
     ) {
-        const MOST: usize = 4_096;
-        const WITHIN: Duration = Duration::from_millis(20);
-        let rest = Limited::new(body, MOST).collect();
-        if let Ok(Ok(_)) = tokio::time::timeout(WITHIN, rest).await {
+        const MAX_REST_BYTES: usize = 4_096;
+        const REST_TIMEOUT: Duration = Duration::from_millis(20);
+        let rest = Limited::new(body, MAX_REST_BYTES).collect();
+        if let Ok(Ok(_)) = tokio::time::timeout(REST_TIMEOUT, rest).await {
             self.pool.put(connection, &head.headers);
         }
     }
--- a/crates/gateway/src/placing.rs
+++ b/crates/gateway/src/placing.rs
@@ -24,21 +24,21 @@
 use self::asker::{Answer, Asker};
 pub(crate) use self::chooser::Chooser;
 pub(crate) use self::lease::Lease;
-use self::placer::Given;
+use self::placer::GrantedPlaces;
 use crate::dispatch::{Dispatcher, Place};
 use crate::poison::PoisonGossip;
 use crate::wire::Wire;
 
 /// How often places are looked after, and whether this entry knows enough to
 /// place for others.
-const LOOK: Duration = Duration::from_millis(100);
+const UPKEEP_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The maximum number of resting replicas named in a question to the placer,
 /// which limits the size of the datagram.
-const MOST_RESTING: usize = 32;
+const MAX_RESTING_NAMED: usize = 32;
 
 /// The datagrams that are read before other tasks get their turn.
-const AT_ONCE: usize = 16;
+const MAX_BATCH: usize = 16;
 
 /// Places requests, by the hall's placer where there is one.
 pub(crate) struct HallPlacing {
@@ -56,7 +56,7 @@
     gossip: Arc<PoisonGossip>,
     asker: Asker,
     choice: Mutex<PlacerChoice>,
-    given: Arc<Given>,
+    granted: Arc<GrantedPlaces>,
     /// Whether this entry may place for others.
     ready: AtomicBool,
 }
@@ -83,7 +83,7 @@
             asker: Asker::new(Arc::clone(&wire)),
             wire,
             choice: Mutex::new(PlacerChoice::new(own)),
-            given: Arc::default(),
+            granted: Arc::default(),
             ready: AtomicBool::new(false),
         };
         HallPlacing { dispatcher, peers: Some(peers) }
@@ -99,39 +99,42 @@
     ) -> Result<Place, NoPlaceReason> {
         let resting = self.dispatcher.resting_replicas(&need.service);
         let mut placer_need = need.clone();
-        placer_need.tried.extend(resting.iter().take(MOST_RESTING).cloned());
+        placer_need
+            .tried
+            .extend(resting.iter().take(MAX_RESTING_NAMED).cloned());
         need.tried.extend(resting);
         let Some(peers) = self.peers.as_ref().filter(|p| p.places) else {
-            let alone = self.peers.is_none();
-            let chooser = if alone { Chooser::Alone } else { Chooser::Apart };
-            return self.own(need, until, chooser).await;
+            let no_peers = self.peers.is_none();
+            let chooser =
+                if no_peers { Chooser::NoPeers } else { Chooser::Independent };
+            return self.choose_locally(need, until, chooser).await;
         };
-        let ranked = self.dispatcher.leading_entries();
-        let mut why = Chooser::NoPlacer;
+        let leading = self.dispatcher.leading_entries();
+        let mut own_reason = Chooser::NoPlacer;
         for _ in 0..PlacerChoice::MAX_PLACERS_ASKED {
             let now = self.dispatcher.facts().now();
-            let placer = match peers.choice().choose(&ranked, now) {
+            let placer = match peers.choice().choose(&leading, now) {
                 None => break,
                 Some(Placer::Own) => {
-                    why = Chooser::IsPlacer;
+                    own_reason = Chooser::IsPlacer;
                     break;
                 }
                 Some(Placer::Other(addr)) => addr,
             };
             match self.ask(peers, placer, &placer_need, until, left).await {
                 Ok(place) => return Ok(place),
-                Err(Asked::Refused(NoPlaceReason::Room)) => {
+                Err(AskError::Refused(NoPlaceReason::Room)) => {
                     return Err(NoPlaceReason::Room);
                 }
                 // What this entry knows of may still do.
-                Err(Asked::Refused(_)) => break,
-                Err(Asked::Nothing(reason)) => why = reason,
+                Err(AskError::Refused(_)) => break,
+                Err(AskError::Unavailable(reason)) => own_reason = reason,
             }
         }
-        self.own(need, until, why).await
+        self.choose_locally(need, until, own_reason).await
     }
 
-    async fn own(
+    async fn choose_locally(
         &self,
         need: Need,
         until: Instant,
@@ -151,39 +154,44 @@
         need: &Need,
         until: Instant,
         left: Duration,
-    ) -> Result<Place, Asked> {
-        let patience = peers.choice().answer_timeout();
+    ) -> Result<Place, AskError> {
+        let timeout = peers.choice().answer_timeout();
         let asked = Instant::now();
         let mut question = peers.asker.ask(placer, need, until, left);
-        let mut verdict = question.answer(patience).await;
-        if verdict != Answer::Silence {
-            self.note_answer(peers, placer, asked.elapsed());
+        let mut verdict = question.answer(timeout).await;
+        if verdict != Answer::Timeout {
+            self.record_answer(peers, placer, asked.elapsed());
         }
         if verdict == Answer::Verdict(Verdict::Queued) {
             let wait = until.saturating_duration_since(Instant::now());
-            verdict = question.answer(wait + patience).await;
+            verdict = question.answer(wait + timeout).await;
         }
         let placed = match verdict {
             Answer::Verdict(Verdict::Placed(placed)) => placed,
-            Answer::Verdict(Verdict::Refused(lack)) => {
-                return Err(Asked::Refused(lack));
+            Answer::Verdict(Verdict::Refused(reason)) => {
+                return Err(AskError::Refused(reason));
             }
             Answer::Verdict(Verdict::Unready) => {
                 let now = self.dispatcher.facts().now();
                 peers.choice().record_unready(placer, now);
-                return Err(Asked::Nothing(Chooser::Unready));
+                return Err(AskError::Unavailable(Chooser::PlacerUnready));
             }
-            Answer::Verdict(Verdict::Queued) | Answer::Silence => {
-                self.note_silence(peers, placer);
-                return Err(Asked::Nothing(Chooser::Silent));
+            Answer::Verdict(Verdict::Queued) | Answer::Timeout => {
+                self.record_timeout(peers, placer);
+                return Err(AskError::Unavailable(Chooser::PlacerTimeout));
             }
         };
         let lease = question.lease();
         let place = self.dispatcher.adopt(placed, need, lease, placer);
-        place.ok_or(Asked::Nothing(Chooser::Unknown))
+        place.ok_or(AskError::Unavailable(Chooser::UnusableChoice))
     }
 
-    fn note_answer(&self, peers: &Peers, placer: SocketAddr, took: Duration) {
+    fn record_answer(
+        &self,
+        peers: &Peers,
+        placer: SocketAddr,
+        took: Duration,
+    ) {
         let now = self.dispatcher.facts().now();
         let silent = peers.choice().record_answer(placer, took, now);
         let Some(silent) = silent else { return };
@@ -193,7 +201,7 @@
         });
     }
 
-    fn note_silence(&self, peers: &Peers, placer: SocketAddr) {
+    fn record_timeout(&self, peers: &Peers, placer: SocketAddr) {
         let now = self.dispatcher.facts().now();
         if !peers.choice().record_timeout(placer, now) {
             return;
@@ -209,25 +217,25 @@
     /// ends.
     pub(crate) async fn run(self: Arc<Self>) {
         let Some(peers) = &self.peers else { return };
-        let mut timer = tokio::time::interval(LOOK);
+        let mut timer = tokio::time::interval(UPKEEP_INTERVAL);
         loop {
             tokio::select! {
                 got = peers.wire.receive() => {
-                    self.take(peers, got);
+                    self.handle_datagram(peers, got);
                     // Those that have come beside it need no further wait.
-                    for _ in 0..AT_ONCE {
+                    for _ in 0..MAX_BATCH {
                         let Some(got) = peers.wire.try_receive() else {
                             break;
                         };
-                        self.take(peers, got);
+                        self.handle_datagram(peers, got);
                     }
                 }
-                _ = timer.tick() => self.look(peers),
+                _ = timer.tick() => self.upkeep(peers),
             }
         }
     }
 
-    fn take(
+    fn handle_datagram(
         &self,
         peers: &Peers,
         (from, message): (SocketAddr, Result<Message, Error>),
@@ -235,7 +243,7 @@
         match message {
             Ok(Message::Ask(question)) => {
                 let ready = peers.ready.load(Ordering::Relaxed);
-                peers.given.answer(
+                peers.granted.answer(
                     &self.dispatcher,
                     &peers.wire,
                     from,
@@ -244,12 +252,12 @@
                 );
             }
             Ok(Message::Answer { number, verdict }) => {
-                peers.asker.take(from, number, verdict);
+                peers.asker.handle_answer(from, number, verdict);
             }
             Ok(Message::Event { number, event }) => {
-                peers.given.take(from, number, event);
+                peers.granted.handle_event(from, number, event);
             }
-            Ok(Message::Poison(news)) => peers.gossip.take(from, news),
+            Ok(Message::Poison(news)) => peers.gossip.handle(from, news),
             Err(error) if peers.wire.is_new_fault(from) => {
                 self.dispatcher.facts().log().write(&Decision::SourceFailed {
                     source: &format!("entry {from}"),
@@ -261,19 +269,20 @@
         }
     }
 
-    fn look(&self, peers: &Peers) {
-        let ranked = self.dispatcher.leading_entries();
-        peers.choice().retain(&ranked);
-        let placer = HallRole::of(peers.own, &ranked) == HallRole::Placer;
-        let ready = peers.places && placer && self.dispatcher.hears_hall();
+    fn upkeep(&self, peers: &Peers) {
+        let leading = self.dispatcher.leading_entries();
+        peers.choice().retain(&leading);
+        let placer = HallRole::of(peers.own, &leading) == HallRole::Placer;
+        let ready =
+            peers.places && placer && self.dispatcher.has_hall_reports();
         peers.ready.store(ready, Ordering::Relaxed);
-        peers.given.look(&self.dispatcher);
+        peers.granted.reclaim_ended(&self.dispatcher);
     }
 
     /// Returns the places that other entries have from this one, and how many
     /// of all were taken back without a word of their end.
     pub(crate) fn given(&self) -> (usize, u64) {
-        self.peers.as_ref().map_or((0, 0), |peers| peers.given.counts())
+        self.peers.as_ref().map_or((0, 0), |peers| peers.granted.counts())
     }
 }
 
@@ -284,9 +293,9 @@
 }
 
 /// Why a question brought no place.
-enum Asked {
+enum AskError {
     /// There is none.
     Refused(NoPlaceReason),
     /// The placer could not say.
-    Nothing(Chooser),
+    Unavailable(Chooser),
 }
--- a/crates/gateway/src/placing/asker.rs
+++ b/crates/gateway/src/placing/asker.rs
@@ -1,4 +1,4 @@
-//! Questions that this entry has out.
+//! Questions that this entry has pending.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,11 +17,11 @@
 /// Asks placers.
 pub(super) struct Asker {
     wire: Arc<Wire>,
-    out: Arc<Mutex<Out>>,
+    pending: Arc<Mutex<PendingQuestions>>,
 }
 
 /// The questions without a last answer.
-struct Out {
+struct PendingQuestions {
     /// The number of the next question. The first is drawn, so that a placer
     /// takes none of a new process for one of its predecessor.
     next: u64,
@@ -34,15 +34,15 @@
     /// The placer's word.
     Verdict(Verdict),
     /// Nothing in time.
-    Silence,
+    Timeout,
 }
 
 impl Asker {
     /// Returns an asker without questions.
     pub(super) fn new(wire: Arc<Wire>) -> Asker {
         let next = u64::from(rand::rng().random::<u32>()) << 20;
-        let out = Out { next, waiting: HashMap::new() };
-        Asker { wire, out: Arc::new(Mutex::new(out)) }
+        let pending = PendingQuestions { next, waiting: HashMap::new() };
+        Asker { wire, pending: Arc::new(Mutex::new(pending)) }
     }
 
     /// Asks for a place.
@@ -52,13 +52,13 @@
         need: &Need,
         until: Instant,
         left: Duration,
-    ) -> Asking {
+    ) -> PendingQuestion {
         let (sender, answers) = mpsc::unbounded_channel();
         let number = {
-            let mut out = lock(&self.out);
-            out.next += 1;
-            let number = out.next;
-            out.waiting.insert(number, sender);
+            let mut pending = lock(&self.pending);
+            pending.next += 1;
+            let number = pending.next;
+            pending.waiting.insert(number, sender);
             number
         };
         let wait = until.saturating_duration_since(Instant::now());
@@ -69,9 +69,9 @@
             left_ms: millis(left),
         };
         self.wire.send(placer, &Message::Ask(question));
-        Asking {
+        PendingQuestion {
             wire: Arc::clone(&self.wire),
-            out: Arc::clone(&self.out),
+            pending: Arc::clone(&self.pending),
             placer,
             number,
             answers,
@@ -80,16 +80,16 @@
 
     /// Takes in an answer. A place that nobody waits for any more is given
     /// back.
-    pub(super) fn take(
+    pub(super) fn handle_answer(
         &self,
         from: SocketAddr,
         number: u64,
         verdict: Verdict,
     ) {
-        let sender = lock(&self.out).waiting.get(&number).cloned();
+        let sender = lock(&self.pending).waiting.get(&number).cloned();
         let Err(verdict) = deliver(sender, verdict) else { return };
         if matches!(verdict, Verdict::Placed(_)) {
-            give_back(&self.wire, from, number);
+            return_place(&self.wire, from, number);
         }
     }
 }
@@ -103,22 +103,22 @@
     sender.send(verdict).map_err(|unsent| unsent.0)
 }
 
-/// A question that is out.
-pub(super) struct Asking {
+/// A question that is pending.
+pub(super) struct PendingQuestion {
     wire: Arc<Wire>,
-    out: Arc<Mutex<Out>>,
+    pending: Arc<Mutex<PendingQuestions>>,
     placer: SocketAddr,
     number: u64,
     answers: mpsc::UnboundedReceiver<Verdict>,
 }
 
-impl Asking {
+impl PendingQuestion {
     /// Waits for the next answer.
-    pub(super) async fn answer(&mut self, within: Duration) -> Answer {
-        let answer = tokio::time::timeout(within, self.answers.recv()).await;
+    pub(super) async fn answer(&mut self, timeout: Duration) -> Answer {
+        let answer = tokio::time::timeout(timeout, self.answers.recv()).await;
         match answer {
             Ok(Some(verdict)) => Answer::Verdict(verdict),
-            Ok(None) | Err(_) => Answer::Silence,
+            Ok(None) | Err(_) => Answer::Timeout,
         }
     }
 
@@ -128,25 +128,27 @@
     }
 }
 
-impl Drop for Asking {
+impl Drop for PendingQuestion {
     fn drop(&mut self) {
-        lock(&self.out).waiting.remove(&self.number);
+        lock(&self.pending).waiting.remove(&self.number);
         // One may have come in the moment in which it was given up.
         while let Ok(verdict) = self.answers.try_recv() {
             if matches!(verdict, Verdict::Placed(_)) {
-                give_back(&self.wire, self.placer, self.number);
+                return_place(&self.wire, self.placer, self.number);
             }
         }
     }
 }
 
-fn give_back(wire: &Wire, placer: SocketAddr, number: u64) {
+fn return_place(wire: &Wire, placer: SocketAddr, number: u64) {
     let event = PlaceEvent::Ended { outcome: Outcome::Unknown };
     wire.send(placer, &Message::Event { number, event });
 }
 
-fn lock(out: &Mutex<Out>) -> MutexGuard<'_, Out> {
-    out.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(
+    pending: &Mutex<PendingQuestions>,
+) -> MutexGuard<'_, PendingQuestions> {
+    pending.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 pub(super) fn millis(span: Duration) -> u32 {
--- a/crates/gateway/src/placing/chooser.rs
+++ b/crates/gateway/src/placing/chooser.rs
@@ -12,17 +12,17 @@
     /// The entry itself, which is the placer.
     IsPlacer,
     /// The entry itself: entries do not reach one another.
-    Alone,
+    NoPeers,
     /// The entry itself: its settings say so.
-    Apart,
+    Independent,
     /// The entry itself: it knows of no placer that is well.
     NoPlacer,
     /// The entry itself: the placer did not answer in time.
-    Silent,
+    PlacerTimeout,
     /// The entry itself: the placer knew too little of the hall.
-    Unready,
+    PlacerUnready,
     /// The entry itself: it may not use the replica that the placer chose.
-    Unknown,
+    UnusableChoice,
 }
 
 impl Chooser {
@@ -38,9 +38,9 @@
     /// entries.
     pub(crate) const fn kind(self) -> ChooserKind {
         match self {
-            Chooser::Alone => ChooserKind::Sole,
+            Chooser::NoPeers => ChooserKind::Sole,
             Chooser::IsPlacer => ChooserKind::Placer,
-            Chooser::Apart => ChooserKind::Independent,
+            Chooser::Independent => ChooserKind::Independent,
             _ => ChooserKind::Fallback,
         }
     }
@@ -50,12 +50,12 @@
         match self {
             Chooser::Placer(_) => None,
             Chooser::IsPlacer => Some("places for the hall"),
-            Chooser::Alone => Some("reaches no other entry"),
-            Chooser::Apart => Some("does not place with others"),
+            Chooser::NoPeers => Some("reaches no other entry"),
+            Chooser::Independent => Some("does not place with others"),
             Chooser::NoPlacer => Some("knows no placer"),
-            Chooser::Silent => Some("the placer is silent"),
-            Chooser::Unready => Some("the placer is not ready"),
-            Chooser::Unknown => Some("may not use the placer's choice"),
+            Chooser::PlacerTimeout => Some("the placer is silent"),
+            Chooser::PlacerUnready => Some("the placer is not ready"),
+            Chooser::UnusableChoice => Some("may not use the placer's choice"),
         }
     }
 }
--- a/crates/gateway/src/placing/lease.rs
+++ b/crates/gateway/src/placing/lease.rs
@@ -29,8 +29,8 @@
     }
 
     /// Tells the placer that the replica has begun.
-    pub(crate) fn began(&self, took: Duration) {
-        self.tell(PlaceEvent::Began { took_ms: millis(took) });
+    pub(crate) fn report_began(&self, took: Duration) {
+        self.send_event(PlaceEvent::Began { took_ms: millis(took) });
     }
 
     /// Reports the replica's rate limit to the placer. `sent_ago` and
@@ -44,7 +44,7 @@
     ) {
         let sent_ms = millis(sent_ago);
         let received_ms = millis(received_ago);
-        self.tell(PlaceEvent::Limit { limit, sent_ms, received_ms });
+        self.send_event(PlaceEvent::Limit { limit, sent_ms, received_ms });
     }
 
     /// Reports to the placer that the replica is leaving. `received_ago` is
@@ -56,21 +56,21 @@
         born: Option<u64>,
     ) {
         let received_ms = millis(received_ago);
-        self.tell(PlaceEvent::Leaving { received_ms, born });
+        self.send_event(PlaceEvent::Leaving { received_ms, born });
     }
 
     /// Reports to the placer that the replica sent `Retry-After`.
-    pub(crate) fn report_rejected(&self, retry_after: Duration) {
+    pub(crate) fn report_retry_after(&self, retry_after: Duration) {
         let retry_after_ms = millis(retry_after);
-        self.tell(PlaceEvent::Rejected { retry_after_ms });
+        self.send_event(PlaceEvent::Rejected { retry_after_ms });
     }
 
     /// Notes what the placer is to know of the replica at the end.
-    pub(crate) const fn note(&mut self, outcome: Outcome) {
+    pub(crate) const fn set_outcome(&mut self, outcome: Outcome) {
         self.outcome = outcome;
     }
 
-    fn tell(&self, event: PlaceEvent) {
+    fn send_event(&self, event: PlaceEvent) {
         let message = Message::Event { number: self.number, event };
         self.wire.send(self.placer, &message);
     }
@@ -78,6 +78,6 @@
 
 impl Drop for Lease {
     fn drop(&mut self) {
-        self.tell(PlaceEvent::Ended { outcome: self.outcome });
+        self.send_event(PlaceEvent::Ended { outcome: self.outcome });
     }
 }
--- a/crates/gateway/src/placing/placer.rs
+++ b/crates/gateway/src/placing/placer.rs
@@ -9,16 +9,16 @@
     PlaceTable, Placed, Question, Verdict,
 };
 
-use crate::dispatch::{Dispatcher, Found, Place};
+use crate::dispatch::{Dispatcher, Place, PlaceResult};
 use crate::wire::Wire;
 
 /// The places that other entries have from this one.
 #[derive(Default)]
-pub(super) struct Given {
+pub(super) struct GrantedPlaces {
     table: Mutex<PlaceTable<Place>>,
 }
 
-impl Given {
+impl GrantedPlaces {
     /// Answers a question, at once or once there is room.
     pub(super) fn answer(
         self: &Arc<Self>,
@@ -30,40 +30,41 @@
     ) {
         let key = PlaceKey { requester: from, number: question.number };
         if self.lock().get_mut(&key).is_some() {
-            // The answer to a doubled question would be taken for one that
+            // The answer to a duplicate question would be taken for one that
             // came too late, and its place would be given back.
             return;
         }
-        let say = |verdict| {
+        let reply = |verdict| {
             let number = key.number;
             wire.send(from, &Message::Answer { number, verdict });
         };
         if !ready {
-            return say(Verdict::Unready);
+            return reply(Verdict::Unready);
         }
         let wait = Duration::from_millis(u64::from(question.wait_ms));
         let left = Duration::from_millis(u64::from(question.left_ms));
-        match dispatcher.request(
+        match dispatcher.request_place(
             question.need,
             !wait.is_zero(),
             ChooserKind::Placer,
         ) {
-            Found::Place(place) => {
-                if let Some(placed) = self.give(dispatcher, key, place, left) {
-                    say(placed);
+            PlaceResult::Place(place) => {
+                if let Some(placed) = self.grant(dispatcher, key, place, left)
+                {
+                    reply(placed);
                 }
             }
-            Found::Nothing(lack) => say(Verdict::Refused(lack)),
-            Found::Waits(found) => {
-                say(Verdict::Queued);
-                let given = Arc::clone(self);
+            PlaceResult::NoPlace(reason) => reply(Verdict::Refused(reason)),
+            PlaceResult::Queued(pending) => {
+                reply(Verdict::Queued);
+                let places = Arc::clone(self);
                 let dispatcher = Arc::clone(dispatcher);
                 let wire = Arc::clone(wire);
                 tokio::spawn(async move {
-                    let place = found.within(wait).await;
+                    let place = pending.wait(wait).await;
                     let verdict = match place {
                         Some(place) => {
-                            given.give(&dispatcher, key, place, left)
+                            places.grant(&dispatcher, key, place, left)
                         }
                         None => Some(Verdict::Refused(NoPlaceReason::Room)),
                     };
@@ -77,7 +78,7 @@
 
     /// Notes a place as given, for `left` at most, and returns the answer;
     /// none if the question has had one.
-    fn give(
+    fn grant(
         &self,
         dispatcher: &Dispatcher,
         key: PlaceKey,
@@ -95,12 +96,12 @@
             report_age_ms: place.report_age.map(|a| a.as_millis() as u64),
             limit: place.limit,
         };
-        let doubled = self.lock().insert(key, place, now, left);
-        doubled.is_none().then_some(Verdict::Placed(placed))
+        let duplicate = self.lock().insert(key, place, now, left);
+        duplicate.is_none().then_some(Verdict::Placed(placed))
     }
 
     /// Takes in how a place was used.
-    pub(super) fn take(
+    pub(super) fn handle_event(
         &self,
         from: SocketAddr,
         number: u64,
@@ -111,7 +112,7 @@
             PlaceEvent::Began { took_ms } => {
                 let took = Duration::from_millis(u64::from(took_ms));
                 if let Some(place) = self.lock().get_mut(&key) {
-                    place.begin_after(took);
+                    place.record_begin_after(took);
                 }
             }
             PlaceEvent::Limit { limit, sent_ms, received_ms } => {
@@ -131,7 +132,7 @@
                 let retry_after =
                     Duration::from_millis(u64::from(retry_after_ms));
                 if let Some(place) = self.lock().get_mut(&key) {
-                    place.apply_rejected(retry_after);
+                    place.apply_retry_after(retry_after);
                 }
             }
             PlaceEvent::Ended { outcome } => {
@@ -145,7 +146,7 @@
     }
 
     /// Takes back what is over without a word.
-    pub(super) fn look(&self, dispatcher: &Dispatcher) {
+    pub(super) fn reclaim_ended(&self, dispatcher: &Dispatcher) {
         let now = dispatcher.facts().now();
         let totals = dispatcher.reported_totals();
         let mut table = self.lock();
--- a/crates/gateway/src/poison.rs
+++ b/crates/gateway/src/poison.rs
@@ -1,8 +1,8 @@
-//! Keeping requests that end replicas from them.
+//! Quarantine of requests that crash replicas.
 //!
-//! [`PoisonWatch`] is asked before each attempt and told how it went, and
-//! [`gossip`] tells the other entries. While no request is known to have ended
-//! a replica neither of them costs a request anything.
+//! [`PoisonWatch`] admits each attempt and records its outcome; [`gossip`]
+//! shares the records with other entries. While no request is known to have
+//! crashed a replica, neither adds any cost to a request.
 
 mod gossip;
 
@@ -21,36 +21,36 @@
 pub(crate) use self::gossip::PoisonGossip;
 use crate::request_context::RequestContext;
 
-/// What one entry knows of poisoned requests.
+/// The poisoned requests known to one entry.
 pub(crate) struct PoisonWatch {
     table: Mutex<PoisonTable>,
-    /// The requests in the table.
-    known: AtomicUsize,
+    /// The number of requests in the table, readable without the lock.
+    request_count: AtomicUsize,
     facts: Arc<Facts>,
     changed: Notify,
 }
 
 impl PoisonWatch {
-    /// Returns a watch that knows of nothing.
+    /// Returns a watch with an empty table.
     pub(crate) fn new(facts: Arc<Facts>) -> PoisonWatch {
         PoisonWatch {
             table: Mutex::default(),
-            known: AtomicUsize::new(0),
+            request_count: AtomicUsize::new(0),
             facts,
             changed: Notify::new(),
         }
     }
 
-    /// Returns what is known of a request that may be sent now.
+    /// Admits a request and returns the suspicion against it.
     ///
     /// # Errors
     ///
-    /// Why it may not be sent.
+    /// The refusal, if the request may not be sent now.
     pub(crate) fn admit(
         &self,
         context: &RequestContext,
     ) -> Result<Suspicion, Refusal> {
-        if self.knows_nothing() {
+        if self.is_empty() {
             return Ok(Suspicion::default());
         }
         let request = context.fingerprint();
@@ -69,17 +69,17 @@
         self.decide(context, admission)
     }
 
-    /// Looks again at a request that has waited for its place.
+    /// Checks an admitted request again after it has waited for a place.
     ///
     /// # Errors
     ///
-    /// Why it may not be sent any more.
+    /// The refusal, if the request may no longer be sent.
     pub(crate) fn recheck(
         &self,
         context: &RequestContext,
         sent: Suspicion,
     ) -> Result<(), Refusal> {
-        if self.knows_nothing() {
+        if self.is_empty() {
             return Ok(());
         }
         let request = context.fingerprint();
@@ -107,16 +107,16 @@
         Err(refusal)
     }
 
-    /// Takes note that a replica's process ended under a request, and returns
-    /// what is known of it now. The end of a replica that was leaving speaks
-    /// against nobody.
-    pub(crate) fn ended_under(
+    /// Records that a replica's process ended while it ran a request, and
+    /// returns the suspicion against the request. The end of a replica that
+    /// was leaving is not attributed to any request.
+    pub(crate) fn record_crash(
         &self,
         context: &RequestContext,
         replica: &Replica,
         sent: Suspicion,
     ) -> Suspicion {
-        if !self.was_to_stay(replica) {
+        if !self.was_ready(replica) {
             return sent;
         }
         let request = context.fingerprint();
@@ -125,7 +125,7 @@
         let suspicion = {
             let mut table = self.lock();
             let known = table.record_crash(request, sent, incarnation, now);
-            self.known.store(table.len(), Ordering::Relaxed);
+            self.request_count.store(table.len(), Ordering::Relaxed);
             known
         };
         self.log(&Decision::PoisonSuspected {
@@ -140,15 +140,15 @@
         suspicion
     }
 
-    fn was_to_stay(&self, replica: &Replica) -> bool {
+    fn was_ready(&self, replica: &Replica) -> bool {
         let view = self.facts.view();
         let listed = view.replicas.get(&replica.incarnation);
         listed.is_some_and(|(r, _)| r.state == ReplicaState::Ready)
     }
 
-    /// Takes note that a request has had its whole answer.
+    /// Records that a request got its complete answer.
     pub(crate) fn record_answer(&self, context: &RequestContext) {
-        if self.knows_nothing() {
+        if self.is_empty() {
             return;
         }
         let request = context.fingerprint();
@@ -163,24 +163,24 @@
         self.changed.notify_one();
     }
 
-    /// Takes note that a run of a request is over.
+    /// Records that a run of a request is over.
     pub(crate) fn finish_run(&self, context: &RequestContext) {
-        if !self.knows_nothing() {
+        if !self.is_empty() {
             self.lock().finish_run(context.fingerprint());
         }
     }
 
-    /// Takes note that a request is sent on no more.
+    /// Records that a request will not be retried.
     pub(crate) fn record_give_up(&self, context: &RequestContext) {
-        if self.knows_nothing() {
+        if self.is_empty() {
             return;
         }
         self.lock().record_give_up(context.fingerprint());
         self.changed.notify_one();
     }
 
-    /// Takes in what another entry tells, and returns what was new.
-    fn learn(
+    /// Merges records from another entry and returns the new ones.
+    fn merge(
         &self,
         from: SocketAddr,
         records: Vec<PoisonRecord>,
@@ -189,7 +189,7 @@
         let news = {
             let mut table = self.lock();
             let news: Vec<Fingerprint> = table.merge(records, now);
-            self.known.store(table.len(), Ordering::Relaxed);
+            self.request_count.store(table.len(), Ordering::Relaxed);
             table.records(&news, now)
         };
         for record in &news {
@@ -206,20 +206,20 @@
         news
     }
 
-    /// Drops what is over, and returns how many requests are known, and how
-    /// many of these are quarantined.
+    /// Drops expired records and returns the numbers of known and of
+    /// quarantined requests.
     pub(crate) fn sweep(&self) -> (usize, usize) {
-        if self.knows_nothing() {
+        if self.is_empty() {
             return (0, 0);
         }
         let mut table = self.lock();
         table.sweep(self.facts.now());
-        self.known.store(table.len(), Ordering::Relaxed);
+        self.request_count.store(table.len(), Ordering::Relaxed);
         (table.len(), table.quarantined())
     }
 
-    fn knows_nothing(&self) -> bool {
-        self.known.load(Ordering::Relaxed) == 0
+    fn is_empty(&self) -> bool {
+        self.request_count.load(Ordering::Relaxed) == 0
     }
 
     fn log(&self, decision: &Decision<'_>) {
--- a/crates/gateway/src/poison/gossip.rs
+++ b/crates/gateway/src/poison/gossip.rs
@@ -1,11 +1,12 @@
-//! Telling other entries of poisoned requests.
+//! Gossip about poisoned requests between entries.
 //!
-//! A change goes at once to the entries that agents tell of, which are the
-//! first of each hall, and to those that have spoken of late; who learns
-//! something new tells the others of its hall. What is lost on the way is made
-//! good by a digest that each entry sends to one other in turn: whose table
-//! differs answers with records. So an entry that has just started learns all
-//! there is from the first one that it reaches.
+//! A change is sent at once to the entries that agents report, which are the
+//! first-ranked ones of each hall, and to those that sent a message recently.
+//! A receiver forwards new records to the other entries of its hall. To repair
+//! losses, each entry periodically sends a digest of its table to one other
+//! entry in turn, which answers with records if its table differs. An entry
+//! that has just started thus gets the whole table from the first one that it
+//! reaches.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -19,38 +20,40 @@
 use crate::dispatch::Dispatcher;
 use crate::wire::Wire;
 
-/// How often an entry compares its table with another one's. With seven
-/// entries each is compared four times a second, so that a lost datagram costs
-/// a quarter of a second, and a new entry knows all 0.5 s after it has heard
-/// of another one.
-const BEAT: Duration = Duration::from_millis(500);
+/// The interval at which an entry compares its table with that of another one.
+/// With seven entries each is compared four times a second, so that a lost
+/// datagram costs a quarter of a second, and a new entry has the whole table
+/// 0.5 s after it has learned of another one.
+const DIGEST_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Of so many beats one is used by an entry that knows of nothing, which all
-/// others tell of changes: 30 bytes each 2 s.
-const CALM: u32 = 4;
+/// The number of ticks between digests of an entry with an empty table, which
+/// is sent all changes by the others. A digest takes 30 bytes, every 2 s.
+const IDLE_TICKS: u32 = 4;
 
-/// How long an entry is eager to learn after its start, in beats.
-const EAGER: u32 = 20;
+/// The number of ticks after the start during which an entry sends digests at
+/// each tick even if its table is empty.
+const STARTUP_TICKS: u32 = 20;
 
-/// How long changes are gathered before they are told: all requests at a
-/// replica that ends are broken off within this.
-const GATHER: Duration = Duration::from_millis(5);
+/// How long changes are collected before they are sent. All requests at a
+/// replica that crashes are interrupted within this time.
+const BATCH_DELAY: Duration = Duration::from_millis(5);
 
-/// How long an entry is told of changes after it has last been heard of. In a
-/// hall of 150 entries each speaks to five others, to each of them every 2.5 s.
-const KEPT: Duration = Duration::from_secs(30);
+/// How long an entry is sent changes after it was last seen. In a hall of 150
+/// entries each exchanges digests with five others, with each of them every
+/// 2.5 s.
+const PEER_RETENTION: Duration = Duration::from_secs(30);
 
-/// The most messages that answer one digest.
-const MOST_PARTS: usize = 4;
+/// The maximum number of messages that answer one digest.
+const MAX_REPLY_PARTS: usize = 4;
 
-/// Tells and learns of poisoned requests.
+/// Exchanges records of poisoned requests with other entries.
 pub(crate) struct PoisonGossip {
     watch: Arc<PoisonWatch>,
     dispatcher: Arc<Dispatcher>,
     wire: Arc<Wire>,
     own: SocketAddr,
-    /// When each other entry was last heard or told of.
-    known: Mutex<HashMap<SocketAddr, Instant>>,
+    /// When each other entry last sent a message or was last reported.
+    last_seen: Mutex<HashMap<SocketAddr, Instant>>,
 }
 
 impl PoisonGossip {
@@ -61,80 +64,90 @@
         wire: Arc<Wire>,
         own: SocketAddr,
     ) -> PoisonGossip {
-        PoisonGossip { watch, dispatcher, wire, own, known: Mutex::default() }
+        PoisonGossip {
+            watch,
+            dispatcher,
+            wire,
+            own,
+            last_seen: Mutex::default(),
+        }
     }
 
-    /// Tells others until the process ends.
+    /// Sends changes and digests until the process ends.
     pub(crate) async fn run(self: Arc<Self>) {
-        let mut timer = tokio::time::interval(BEAT);
-        let mut beat = 0;
+        let mut timer = tokio::time::interval(DIGEST_INTERVAL);
+        let mut tick = 0;
         loop {
             tokio::select! {
                 _ = timer.tick() => {
-                    self.beat(beat);
-                    beat += 1;
+                    self.send_digest(tick);
+                    tick += 1;
                 }
                 () = self.watch.changed.notified() => {
-                    tokio::time::sleep(GATHER).await;
+                    tokio::time::sleep(BATCH_DELAY).await;
                 }
             }
-            self.tell();
+            self.send_changes();
         }
     }
 
-    /// Compares tables with the next of the others.
-    fn beat(&self, beat: u32) {
-        let others = self.others();
-        let calm = beat > EAGER && self.watch.knows_nothing();
-        if others.is_empty() || (calm && !beat.is_multiple_of(CALM)) {
+    /// Sends the table's digest to the next peer in turn.
+    fn send_digest(&self, tick: u32) {
+        let others = self.digest_peers();
+        let idle = tick > STARTUP_TICKS && self.watch.is_empty();
+        if others.is_empty() || (idle && !tick.is_multiple_of(IDLE_TICKS)) {
             return;
         }
-        let turn = if calm { beat / CALM } else { beat } as usize;
+        let turn = if idle { tick / IDLE_TICKS } else { tick } as usize;
         let digest = PoisonMessage::Digest(self.watch.lock().digest());
         self.send(others[turn % others.len()], digest);
     }
 
-    /// Returns whom this entry compares tables with: one that leads its hall
-    /// with all that it knows of, any other with those that lead.
-    fn others(&self) -> Vec<SocketAddr> {
-        let ranked = self.dispatcher.leading_entries();
-        let leads = ranked.is_empty() || ranked.contains(&self.own);
+    /// Returns the entries to compare tables with: for a leading entry of the
+    /// hall all known entries, for any other the leading ones.
+    fn digest_peers(&self) -> Vec<SocketAddr> {
+        let leading = self.dispatcher.leading_entries();
+        let is_leading = leading.is_empty() || leading.contains(&self.own);
         let mut others = self.peers();
-        if !leads {
-            others.retain(|addr| ranked.contains(addr));
+        if !is_leading {
+            others.retain(|addr| leading.contains(addr));
         }
         others.into_iter().collect()
     }
 
-    /// Returns all other entries that this one knows of.
+    /// Returns all other known entries.
     fn peers(&self) -> BTreeSet<SocketAddr> {
         let now = Instant::now();
         let entries = self.dispatcher.entries();
-        let ranked = self.dispatcher.leading_entries();
-        let mut known =
-            self.known.lock().unwrap_or_else(PoisonError::into_inner);
+        let leading = self.dispatcher.leading_entries();
+        let mut last_seen =
+            self.last_seen.lock().unwrap_or_else(PoisonError::into_inner);
         for entry in entries.iter() {
-            known.insert(entry.addr, now);
+            last_seen.insert(entry.addr, now);
         }
-        for addr in ranked.iter() {
-            known.insert(*addr, now);
+        for addr in leading.iter() {
+            last_seen.insert(*addr, now);
         }
-        known.retain(|addr, at| {
-            *addr != self.own && now.duration_since(*at) < KEPT
+        last_seen.retain(|addr, at| {
+            *addr != self.own && now.duration_since(*at) < PEER_RETENTION
         });
-        known.keys().copied().collect()
+        last_seen.keys().copied().collect()
     }
 
-    /// Tells all others what has changed here.
-    fn tell(&self) {
+    /// Sends local changes to all known entries.
+    fn send_changes(&self) {
         let now = self.watch.facts.now();
         let records = self.watch.lock().take_unsent(now);
         if !records.is_empty() {
-            self.tell_all(&self.peers(), &records);
+            self.send_records(&self.peers(), &records);
         }
     }
 
-    fn tell_all(&self, to: &BTreeSet<SocketAddr>, records: &[PoisonRecord]) {
+    fn send_records(
+        &self,
+        to: &BTreeSet<SocketAddr>,
+        records: &[PoisonRecord],
+    ) {
         for part in records.chunks(PoisonMessage::MAX_RECORDS) {
             for addr in to {
                 self.send(*addr, PoisonMessage::Changed(part.to_vec()));
@@ -142,38 +155,39 @@
         }
     }
 
-    /// Takes in a message.
-    pub(crate) fn take(&self, from: SocketAddr, news: PoisonMessage) {
-        self.known
+    /// Handles a message.
+    pub(crate) fn handle(&self, from: SocketAddr, news: PoisonMessage) {
+        self.last_seen
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .insert(from, Instant::now());
         match news {
-            PoisonMessage::Changed(records) => self.learn(from, records),
-            PoisonMessage::Digest(theirs) => self.answer(from, theirs),
+            PoisonMessage::Changed(records) => self.merge(from, records),
+            PoisonMessage::Digest(theirs) => self.answer_digest(from, theirs),
             PoisonMessage::Differs { digest, records } => {
-                self.learn(from, records);
-                self.give_back(from, digest);
+                self.merge(from, records);
+                self.send_missing(from, digest);
             }
         }
     }
 
-    /// Takes in records, and tells the own hall what was new.
-    fn learn(&self, from: SocketAddr, records: Vec<PoisonRecord>) {
-        let news = self.watch.learn(from, records);
+    /// Merges records and forwards the new ones to the entries of this hall.
+    fn merge(&self, from: SocketAddr, records: Vec<PoisonRecord>) {
+        let news = self.watch.merge(from, records);
         if news.is_empty() {
             return;
         }
-        // The first of each hall have been told by who told this entry.
+        // The sender has already sent them to the first-ranked entries of
+        // each hall.
         let mut to = self.peers();
         to.remove(&from);
         for entry in self.dispatcher.entries().iter() {
             to.remove(&entry.addr);
         }
-        self.tell_all(&to, &news);
+        self.send_records(&to, &news);
     }
 
-    fn answer(&self, from: SocketAddr, theirs: u64) {
+    fn answer_digest(&self, from: SocketAddr, theirs: u64) {
         let now = self.watch.facts.now();
         let (digest, records) = {
             let mut table = self.watch.lock();
@@ -181,11 +195,12 @@
             if digest == theirs {
                 return;
             }
-            let most = PoisonMessage::MAX_RECORDS * MOST_PARTS;
+            let most = PoisonMessage::MAX_RECORDS * MAX_REPLY_PARTS;
             (digest, table.next_batch(most, now))
         };
         if records.is_empty() {
-            // The other one knows more; it tells some in answer to this.
+            // The other table has records that this one lacks; the peer sends
+            // some in answer to this.
             let records = Vec::new();
             self.send(from, PoisonMessage::Differs { digest, records });
             return;
@@ -196,8 +211,8 @@
         }
     }
 
-    /// Sends an entry whose table still differs what it may lack.
-    fn give_back(&self, to: SocketAddr, theirs: u64) {
+    /// Sends a batch of records to an entry whose table still differs.
+    fn send_missing(&self, to: SocketAddr, theirs: u64) {
         let now = self.watch.facts.now();
         let records = {
             let mut table = self.watch.lock();
