--- a/crates/gateway/src/admit.rs
+++ b/crates/gateway/src/admit.rs
@@ -1,4 +1,4 @@
-//! Which route takes a request, and whose it is.
+//! Matching of a request to its route and workspace.
 
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
 ///
 /// # Errors
 ///
-/// [`Code::UnknownRoute`].
+/// [`Code::UnknownRoute`] if no route matches.
 pub(crate) fn find_route(
     routes: &RouteTable,
     head: &Parts,
@@ -39,11 +39,13 @@
     }
 }
 
-/// Finds the workspace whose key a request has.
+/// Finds the workspace that a request's key belongs to. Returns `None` if the
+/// route or the whole fleet requires no keys.
 ///
 /// # Errors
 ///
-/// [`Code::MissingKey`], [`Code::UnknownKey`].
+/// [`Code::MissingKey`] or [`Code::UnknownKey`] if a key is required but is
+/// absent or unknown.
 pub(crate) fn find_workspace(
     routes: &RouteTable,
     route: &Route,
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -1,4 +1,4 @@
-//! One request, from its head to the head of its answer.
+//! Forwarding of a request, up to the head of its answer.
 
 mod attempts;
 mod log;
@@ -41,7 +41,7 @@
 use crate::request_context::RequestContext;
 use crate::settings::EntrySettings;
 
-/// A time limit that nobody named.
+/// The time limit of a request whose caller sets none.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Forwards the requests of one entry.
@@ -58,20 +58,20 @@
     shutdown: Shutdown,
 }
 
-/// A sent attempt that brought the head of its own answer.
+/// An attempt that received the head of its answer.
 pub(crate) struct Answered {
     pub head: response::Parts,
     pub upstream: Upstream,
 }
 
-/// An attempt that brought no usable answer.
+/// The failure of an attempt that got no usable answer.
 pub(crate) struct AttemptError {
     pub result: AttemptResult,
     pub reason: String,
-    /// Whether the connection ended under it.
+    /// Whether the connection was lost during the attempt.
     pub connection_lost: bool,
-    /// The replica's own answer, if it came whole: another replica may do
-    /// better, and if none does it is the caller's.
+    /// The replica's complete error response, if any. The caller gets it if no
+    /// other replica succeeds.
     pub failure: Option<Response<Body>>,
 }
 
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Ends connections that have rested too long, and sets gauges.
+    /// Closes idle connections, drops expired state and updates gauges.
     pub(crate) fn sweep_and_update_gauges(&self) {
         self.pool.sweep();
         self.dispatcher.sweep();
@@ -184,11 +184,12 @@
     ) -> Result<Response<Body>, Failed> {
         let view = self.facts.view();
         let Some(routes) = view.routes.clone() else {
-            let error = Error::new(Code::NoRoutes, "none are known yet");
+            let error =
+                Error::new(Code::NoRoutes, "no routes have been read yet");
             return Err(refused(error, Shortage::NoReplica));
         };
         drop(view);
-        // Faults of the head are told before a byte of the body is read.
+        // Errors in the head are answered before any of the body is read.
         let caller = caller?;
         let route = find_route(&routes, &head)?;
         let workspace = find_workspace(&routes, &route, &caller)?;
@@ -231,7 +232,8 @@
         answered
     }
 
-    /// Passes an answer on: a stream as it comes, all else once it is whole.
+    /// Relays an answer to the caller: a stream as it arrives, any other
+    /// answer once it is complete.
     async fn relay_answer(
         self: &Arc<Self>,
         context: &Arc<RequestContext>,
@@ -241,7 +243,7 @@
         let Answered { mut head, mut upstream } = answered;
         let status = head.status;
         if head.headers.contains_key(CONTENT_ENCODING) {
-            let why = "an encoding that nobody asked for";
+            let why = "unrequested content encoding in the answer";
             return Err(AttemptError::new(AttemptResult::NoResponse, why));
         }
         self.metrics.answered(context.started.elapsed().as_secs_f64());
@@ -283,7 +285,8 @@
         let why = format!("the replica answered {status}");
         let error = AttemptError::new(AttemptResult::NoResponse, why);
         if promises(status.as_u16()) {
-            // It may have run, and this status would say that it did not.
+            // The request may have run, but this status would tell the caller
+            // that it did not.
             return Err(error);
         }
         strip(&mut head.headers);
@@ -296,7 +299,8 @@
         Ok(response)
     }
 
-    /// Whether a failed answer is worth another replica.
+    /// Returns whether a request that got an error response can be retried at
+    /// another replica.
     fn has_retry_left(&self, context: &RequestContext, place: &Place) -> bool {
         let view = self.facts.view();
         let others = view
@@ -305,12 +309,14 @@
         others && context.route.attempts > 1
     }
 
-    /// Spends a retry of a service's share, if there is one.
+    /// Takes a retry from this entry's share of the service's retry budget;
+    /// returns whether there was one.
     pub(crate) fn spend_retry(&self, service: &Arc<str>) -> bool {
         let now = self.facts.now();
         self.share(service, |share| share.try_spend(now))
     }
 
+    /// Calls `act` with this entry's share of a service's retry budget.
     fn share<T>(
         &self,
         service: &Arc<str>,
--- a/crates/gateway/src/forward/attempts.rs
+++ b/crates/gateway/src/forward/attempts.rs
@@ -1,4 +1,4 @@
-//! A request's attempts, one after the other, and what each one tells.
+//! The sequence of a request's attempts, and the evaluation of each.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -18,24 +18,24 @@
 use crate::dispatch::{Place, ReplicaCount};
 use crate::request_context::RequestContext;
 
-/// How long a request may wait for a replica with room, as a part of its
-/// objective: its caller can still come back and be in time. A replica's slot
-/// gets free in a hall of 24 engines each 6 ms.
+/// A request waits for a replica with capacity for at most its latency
+/// objective divided by this, so that its caller can still retry in time. In
+/// a hall of 24 engines a slot becomes free every 6 ms.
 const WAIT_DIVISOR: u32 = 8;
 
-/// An attempt that did not end well.
+/// An attempt that failed.
 pub(crate) struct FailedAttempt {
     pub replica: Arc<Replica>,
     pub sent: Instant,
     pub reason: String,
-    /// Whether the replica's process has ended, if that was asked.
+    /// Whether the replica's process has ended, if that was checked.
     pub replica_ended: Option<bool>,
 }
 
 impl Forwarder {
-    /// Sends a request to one replica after the other. If none does better,
-    /// the caller gets the failure that a replica answered, as it is: it tells
-    /// more than that the backend was lost.
+    /// Sends a request to one replica after the other. If none succeeds, the
+    /// caller gets the last error response of a replica unchanged, because it
+    /// is more informative than an error about a lost backend.
     pub(super) async fn run_attempts(
         self: Arc<Self>,
         context: Arc<RequestContext>,
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Sends a request to one replica after the other, and keeps the last
-    /// failure that one of them answered.
+    /// Sends a request to one replica after the other, and stores the last
+    /// error response of a replica in `failure`.
     async fn try_replicas(
         self: &Arc<Self>,
         context: &Arc<RequestContext>,
@@ -113,8 +113,9 @@
         }
     }
 
-    /// Waits for a place at a replica, for a request that may be sent on both
-    /// before and after that. `need` gets what is known of it.
+    /// Waits for a place at a replica, and checks both before and after that
+    /// whether the request is quarantined. Stores the suspicion against it in
+    /// `need`.
     async fn admitted_place(
         &self,
         context: &RequestContext,
@@ -162,10 +163,11 @@
         Err(refused(Error::new(code, reason), shortage))
     }
 
-    /// Looks at a replica from which no whole answer came: whether its process
-    /// has ended, and what is known of the request now, of which `sent` was
-    /// known when it was sent there. The replica is asked only where the
-    /// connection to it ended, since all else has other causes.
+    /// Checks a replica that returned no complete answer. Returns whether its
+    /// process has ended, if that was checked, and the updated suspicion
+    /// against the request. `sent` is the suspicion at the time of sending.
+    /// Only a lost connection leads to the check, because other failures have
+    /// other causes.
     pub(crate) async fn check_replica_ended(
         &self,
         context: &RequestContext,
@@ -203,6 +205,7 @@
     refused(Error::new(Code::NoBackend, why), shortage)
 }
 
+/// Returns the requirements that a replica has to meet for a request.
 fn need(context: &RequestContext) -> Need {
     Need {
         service: Arc::clone(&context.service),
--- a/crates/gateway/src/forward/log.rs
+++ b/crates/gateway/src/forward/log.rs
@@ -1,4 +1,4 @@
-//! What is logged of a request.
+//! Logging and counting of the events of a request.
 
 use std::time::{Duration, Instant};
 
@@ -59,6 +59,7 @@
         count
     }
 
+    /// Logs and counts an attempt that is about to be sent.
     pub(super) fn log_sent(
         &self,
         context: &RequestContext,
@@ -86,6 +87,7 @@
         });
     }
 
+    /// Logs a failed attempt, and counts it if the replica's process ended.
     pub(crate) fn log_failed(
         &self,
         context: &RequestContext,
--- a/crates/gateway/src/forward/refuse.rs
+++ b/crates/gateway/src/forward/refuse.rs
@@ -1,4 +1,4 @@
-//! The system's own answers to requests that it gives up on.
+//! Error responses of the entry itself.
 
 use std::time::Instant;
 
@@ -14,7 +14,7 @@
 use crate::request_context::RequestContext;
 
 impl Forwarder {
-    /// Answers with a failure, and logs it.
+    /// Returns the response for a failure, and logs it.
     pub(super) fn refusal(
         &self,
         id: &str,
@@ -44,20 +44,22 @@
     }
 }
 
-/// Whether the routes in force decide that a request is refused.
+/// Returns whether the refusal depends on the current routes, so that the age
+/// of the routes is logged with it.
 const fn depends_on_routes(code: Code) -> bool {
     matches!(code, Code::UnknownRoute | Code::UnknownKey | Code::MissingKey)
 }
 
-/// Returns the refusal of a request that has not run, with when its caller
-/// may come back.
+/// Returns the refusal of a request that has not run, with the time after
+/// which the caller may retry.
 pub(super) fn refused(error: Error, shortage: Shortage) -> Failed {
     let span = shortage.retry_after(rand::rng().random());
     Failed::new(error).with_back(span)
 }
 
-/// Returns the answer to a request that is kept from replicas, with when it
-/// may be sent again; or that it may have run, if an earlier attempt may.
+/// Returns the refusal of a quarantined request, with the time after which the
+/// caller may retry. If an earlier attempt may have run, the refusal says so
+/// instead.
 pub(super) fn quarantined(refusal: &Refusal, ran: bool) -> Failed {
     if ran {
         return Failed::new(Error::new(Code::LostBackend, refusal));
--- a/crates/gateway/src/forward/send.rs
+++ b/crates/gateway/src/forward/send.rs
@@ -1,4 +1,4 @@
-//! One attempt, from its sending to the head of its answer.
+//! One attempt, from sending the request to the head of its answer.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -84,7 +84,7 @@
             Judgement::Declined => {
                 place.record_outcome(Outcome::Full);
                 self.reuse(connection, head, body).await;
-                let why = "the replica did not run it";
+                let why = "the replica declined the request";
                 Err(AttemptError::new(AttemptResult::Declined, why))
             }
             Judgement::Misdirected => {
@@ -94,13 +94,13 @@
                 Err(AttemptError::new(AttemptResult::Declined, why))
             }
             Judgement::Foreign => {
-                let why = "an answer to another request";
+                let why = "the answer belongs to another request";
                 Err(AttemptError::new(AttemptResult::NoResponse, why))
             }
         }
     }
 
-    /// Reads the short rest of an answer so that its connection may be kept.
+    /// Reads the rest of a short answer so that its connection can be reused.
     async fn reuse(
         &self,
         connection: Connection,
--- a/crates/gateway/src/placing.rs
+++ b/crates/gateway/src/placing.rs
@@ -1,9 +1,9 @@
-//! Asking the placer of the hall for places, and being the placer.
+//! Placing of requests by one entry for the whole hall, the placer.
 //!
-//! Both sides share one socket: [`wire`] carries datagrams, [`asker`] turns a
-//! request's need into a question and its answer into a [`Place`], and
-//! [`placer`] answers others from this process's own dispatcher. Whatever
-//! goes wrong, the dispatcher of the entry picks by itself.
+//! Requester and placer share one socket: [`crate::wire`] carries datagrams,
+//! [`asker`] sends questions to the placer and receives its answers, and
+//! [`placer`] answers other entries from this process's dispatcher. If the
+//! placer fails, the entry's own dispatcher selects the replica.
 
 mod asker;
 mod chooser;
@@ -29,46 +29,48 @@
 use crate::poison::PoisonGossip;
 use crate::wire::Wire;
 
-/// How often places are looked after, and whether this entry knows enough to
-/// place for others.
+/// The interval at which ended places are reclaimed and the entry checks
+/// whether it knows enough to place requests for others.
 const UPKEEP_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The maximum number of resting replicas named in a question to the placer,
 /// which limits the size of the datagram.
 const MAX_RESTING_NAMED: usize = 32;
 
-/// The datagrams that are read before other tasks get their turn.
+/// The maximum number of further datagrams that are read before the task
+/// yields to others.
 const MAX_BATCH: usize = 16;
 
-/// Places requests, by the hall's placer where there is one.
+/// Places requests through the hall's placer, if there is one.
 pub(crate) struct HallPlacing {
     dispatcher: Arc<Dispatcher>,
-    /// Absent where entries do not reach one another.
+    /// `None` if the settings do not connect entries with each other.
     peers: Option<Peers>,
 }
 
-/// What placing by the hall needs.
+/// The state for communication with other entries.
 struct Peers {
     own: SocketAddr,
     wire: Arc<Wire>,
-    /// Whether places are asked for and given.
+    /// Whether one entry places requests for the whole hall.
     places: bool,
     gossip: Arc<PoisonGossip>,
     asker: Asker,
     choice: Mutex<PlacerChoice>,
     granted: Arc<GrantedPlaces>,
-    /// Whether this entry may place for others.
+    /// Whether this entry can place requests for others.
     ready: AtomicBool,
 }
 
 impl HallPlacing {
-    /// Returns the placing of an entry that picks by itself.
+    /// Returns the placing of an entry that does not reach other entries and
+    /// selects replicas by itself.
     pub(crate) fn without_peers(dispatcher: Arc<Dispatcher>) -> HallPlacing {
         HallPlacing { dispatcher, peers: None }
     }
 
-    /// Returns the placing of an entry that others reach at `own` by a
-    /// socket. Without `places` each entry picks by itself.
+    /// Returns the placing of an entry that others reach at `own`, the address
+    /// of `wire`. Without `places` each entry selects replicas by itself.
     pub(crate) fn new(
         dispatcher: Arc<Dispatcher>,
         own: SocketAddr,
@@ -89,8 +91,8 @@
         HallPlacing { dispatcher, peers: Some(peers) }
     }
 
-    /// Returns a place at a replica, waiting until `until` for one. Nobody
-    /// uses it for longer than `left`.
+    /// Returns a place at a replica, waiting until `until` for capacity. The
+    /// place is used for at most `left`.
     pub(crate) async fn place(
         &self,
         mut need: Need,
@@ -126,7 +128,7 @@
                 Err(AskError::Refused(NoPlaceReason::Room)) => {
                     return Err(NoPlaceReason::Room);
                 }
-                // What this entry knows of may still do.
+                // This entry may know of a suitable replica itself.
                 Err(AskError::Refused(_)) => break,
                 Err(AskError::Unavailable(reason)) => own_reason = reason,
             }
@@ -134,6 +136,7 @@
         self.choose_locally(need, until, own_reason).await
     }
 
+    /// Returns a place chosen by this entry's own dispatcher.
     async fn choose_locally(
         &self,
         need: Need,
@@ -146,7 +149,7 @@
         Ok(place)
     }
 
-    /// Asks one placer.
+    /// Asks a placer for a place.
     async fn ask(
         &self,
         peers: &Peers,
@@ -209,12 +212,12 @@
         self.dispatcher.facts().log().write(&Decision::DependencyLost {
             dependency: &format!("placer {placer}"),
             code: Code::PeerLost.number(),
-            reason: "questions had no answer",
+            reason: "questions to the placer timed out",
         });
     }
 
-    /// Answers other entries and looks after their places, until the process
-    /// ends.
+    /// Handles datagrams from other entries and reclaims their ended places,
+    /// until the process ends.
     pub(crate) async fn run(self: Arc<Self>) {
         let Some(peers) = &self.peers else { return };
         let mut timer = tokio::time::interval(UPKEEP_INTERVAL);
@@ -222,7 +225,7 @@
             tokio::select! {
                 got = peers.wire.receive() => {
                     self.handle_datagram(peers, got);
-                    // Those that have come beside it need no further wait.
+                    // Handle further datagrams that have already arrived.
                     for _ in 0..MAX_BATCH {
                         let Some(got) = peers.wire.try_receive() else {
                             break;
@@ -279,8 +282,8 @@
         peers.granted.reclaim_ended(&self.dispatcher);
     }
 
-    /// Returns the places that other entries have from this one, and how many
-    /// of all were taken back without a word of their end.
+    /// Returns the number of places that other entries hold from this one, and
+    /// the total number that were reclaimed without a report of their end.
     pub(crate) fn given(&self) -> (usize, u64) {
         self.peers.as_ref().map_or((0, 0), |peers| peers.granted.counts())
     }
@@ -292,10 +295,10 @@
     }
 }
 
-/// Why a question brought no place.
+/// The reason why a question to the placer yielded no place.
 enum AskError {
-    /// There is none.
+    /// The placer answered that there is no place.
     Refused(NoPlaceReason),
-    /// The placer could not say.
+    /// The placer gave no usable answer.
     Unavailable(Chooser),
 }
--- a/crates/gateway/src/placing/asker.rs
+++ b/crates/gateway/src/placing/asker.rs
@@ -1,4 +1,4 @@
-//! Questions that this entry has pending.
+//! Pending questions of this entry to placers.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,38 +14,40 @@
 use super::lease::Lease;
 use crate::wire::Wire;
 
-/// Asks placers.
+/// Sends questions to placers and receives the answers.
 pub(super) struct Asker {
     wire: Arc<Wire>,
     pending: Arc<Mutex<PendingQuestions>>,
 }
 
-/// The questions without a last answer.
+/// The questions without a final answer.
 struct PendingQuestions {
-    /// The number of the next question. The first is drawn, so that a placer
-    /// takes none of a new process for one of its predecessor.
-    next: u64,
+    /// The number of the last question. It starts at a random value, so that a
+    /// placer does not confuse the questions of a restarted process with those
+    /// of its predecessor.
+    last_number: u64,
     waiting: HashMap<u64, mpsc::UnboundedSender<Verdict>>,
 }
 
-/// What came back.
+/// The result of waiting for an answer.
 #[derive(Debug, PartialEq)]
 pub(super) enum Answer {
-    /// The placer's word.
+    /// The placer's answer.
     Verdict(Verdict),
-    /// Nothing in time.
+    /// No answer arrived in time.
     Timeout,
 }
 
 impl Asker {
-    /// Returns an asker without questions.
+    /// Returns an asker without pending questions.
     pub(super) fn new(wire: Arc<Wire>) -> Asker {
-        let next = u64::from(rand::rng().random::<u32>()) << 20;
-        let pending = PendingQuestions { next, waiting: HashMap::new() };
+        let last_number = u64::from(rand::rng().random::<u32>()) << 20;
+        let pending =
+            PendingQuestions { last_number, waiting: HashMap::new() };
         Asker { wire, pending: Arc::new(Mutex::new(pending)) }
     }
 
-    /// Asks for a place.
+    /// Asks a placer for a place.
     pub(super) fn ask(
         &self,
         placer: SocketAddr,
@@ -56,8 +58,8 @@
         let (sender, answers) = mpsc::unbounded_channel();
         let number = {
             let mut pending = lock(&self.pending);
-            pending.next += 1;
-            let number = pending.next;
+            pending.last_number += 1;
+            let number = pending.last_number;
             pending.waiting.insert(number, sender);
             number
         };
@@ -78,8 +80,8 @@
         }
     }
 
-    /// Takes in an answer. A place that nobody waits for any more is given
-    /// back.
+    /// Handles an answer. A place for a question that is no longer pending is
+    /// returned to the placer.
     pub(super) fn handle_answer(
         &self,
         from: SocketAddr,
@@ -94,7 +96,8 @@
     }
 }
 
-/// Hands an answer to who waits for it, or returns it.
+/// Delivers an answer to the task that waits for it, or returns it if there is
+/// none.
 fn deliver(
     sender: Option<mpsc::UnboundedSender<Verdict>>,
     verdict: Verdict,
@@ -103,7 +106,7 @@
     sender.send(verdict).map_err(|unsent| unsent.0)
 }
 
-/// A question that is pending.
+/// A pending question.
 pub(super) struct PendingQuestion {
     wire: Arc<Wire>,
     pending: Arc<Mutex<PendingQuestions>>,
@@ -122,7 +125,7 @@
         }
     }
 
-    /// Returns the place that the answer has brought.
+    /// Returns the lease of the place that the answer granted.
     pub(super) fn lease(self) -> Lease {
         Lease::new(Arc::clone(&self.wire), self.placer, self.number)
     }
@@ -131,7 +134,7 @@
 impl Drop for PendingQuestion {
     fn drop(&mut self) {
         lock(&self.pending).waiting.remove(&self.number);
-        // One may have come in the moment in which it was given up.
+        // An answer may have arrived just before the question was dropped.
         while let Ok(verdict) = self.answers.try_recv() {
             if matches!(verdict, Verdict::Placed(_)) {
                 return_place(&self.wire, self.placer, self.number);
--- a/crates/gateway/src/placing/chooser.rs
+++ b/crates/gateway/src/placing/chooser.rs
@@ -1,32 +1,33 @@
-//! Who chose a request's replica, for the log.
+//! The process that chose a request's replica, for the log.
 
 use std::net::SocketAddr;
 
 use stairhinge::placing::ChooserKind;
 
-/// Who chose a request's replica, and why.
+/// The process that chose a request's replica, and why.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Chooser {
-    /// The placer of the hall.
+    /// The placer of the hall, another entry.
     Placer(SocketAddr),
-    /// The entry itself, which is the placer.
+    /// The entry itself, because it is the placer.
     IsPlacer,
-    /// The entry itself: entries do not reach one another.
+    /// The entry itself, because entries are not connected with each other.
     NoPeers,
-    /// The entry itself: its settings say so.
+    /// The entry itself, because its settings disable hall placing.
     Independent,
-    /// The entry itself: it knows of no placer that is well.
+    /// The entry itself, because it knows no responsive placer.
     NoPlacer,
-    /// The entry itself: the placer did not answer in time.
+    /// The entry itself, because the placer did not answer in time.
     PlacerTimeout,
-    /// The entry itself: the placer knew too little of the hall.
+    /// The entry itself, because the placer had too few reports of the hall.
     PlacerUnready,
-    /// The entry itself: it may not use the replica that the placer chose.
+    /// The entry itself, because it may not use the replica that the placer
+    /// chose.
     UnusableChoice,
 }
 
 impl Chooser {
-    /// Returns the placer, if it was another entry.
+    /// Returns the placer's address, if it was another entry.
     pub(crate) const fn placer(self) -> Option<SocketAddr> {
         match self {
             Chooser::Placer(addr) => Some(addr),
@@ -34,8 +35,8 @@
         }
     }
 
-    /// Returns how this choice counts against a bound that holds for all
-    /// entries.
+    /// Returns the kind of chooser, which determines its share of a limit on
+    /// all entries.
     pub(crate) const fn kind(self) -> ChooserKind {
         match self {
             Chooser::NoPeers => ChooserKind::Sole,
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Returns why the entry chose by itself, if it did.
+    /// Returns the reason why the entry itself chose, if it did.
     pub(crate) const fn own_choice(self) -> Option<&'static str> {
         match self {
             Chooser::Placer(_) => None,
--- a/crates/gateway/src/placing/lease.rs
+++ b/crates/gateway/src/placing/lease.rs
@@ -1,4 +1,4 @@
-//! A place that the placer of the hall has given.
+//! A place that the placer of the hall has granted.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,7 +9,8 @@
 use super::asker::millis;
 use crate::wire::Wire;
 
-/// A place that another entry has given; dropping it gives the place back.
+/// A place that another entry has granted. Dropping the lease returns the
+/// place.
 #[derive(Debug)]
 pub(crate) struct Lease {
     wire: Arc<Wire>,
@@ -19,7 +20,7 @@
 }
 
 impl Lease {
-    /// Returns the place that a question brought.
+    /// Returns the lease of the place that the placer granted for a question.
     pub(super) const fn new(
         wire: Arc<Wire>,
         placer: SocketAddr,
@@ -28,7 +29,8 @@
         Lease { wire, placer, number, outcome: Outcome::Unknown }
     }
 
-    /// Tells the placer that the replica has begun.
+    /// Reports to the placer that the replica has started to answer, `took`
+    /// after the place was granted.
     pub(crate) fn report_began(&self, took: Duration) {
         self.send_event(PlaceEvent::Began { took_ms: millis(took) });
     }
@@ -65,7 +67,8 @@
         self.send_event(PlaceEvent::Rejected { retry_after_ms });
     }
 
-    /// Notes what the placer is to know of the replica at the end.
+    /// Sets the outcome that is reported to the placer when the place is
+    /// returned.
     pub(crate) const fn set_outcome(&mut self, outcome: Outcome) {
         self.outcome = outcome;
     }
--- a/crates/gateway/src/placing/placer.rs
+++ b/crates/gateway/src/placing/placer.rs
@@ -1,4 +1,4 @@
-//! Answering other entries' questions.
+//! The placer's side: answers to other entries' questions.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -12,14 +12,14 @@
 use crate::dispatch::{Dispatcher, Place, PlaceResult};
 use crate::wire::Wire;
 
-/// The places that other entries have from this one.
+/// The places that this entry has granted to other entries.
 #[derive(Default)]
 pub(super) struct GrantedPlaces {
     table: Mutex<PlaceTable<Place>>,
 }
 
 impl GrantedPlaces {
-    /// Answers a question, at once or once there is room.
+    /// Answers a question, at once or when there is capacity.
     pub(super) fn answer(
         self: &Arc<Self>,
         dispatcher: &Arc<Dispatcher>,
@@ -30,8 +30,8 @@
     ) {
         let key = PlaceKey { requester: from, number: question.number };
         if self.lock().get_mut(&key).is_some() {
-            // The answer to a duplicate question would be taken for one that
-            // came too late, and its place would be given back.
+            // The requester would treat the answer to a duplicate question as
+            // late and return its place.
             return;
         }
         let reply = |verdict| {
@@ -76,8 +76,8 @@
         }
     }
 
-    /// Notes a place as given, for `left` at most, and returns the answer;
-    /// none if the question has had one.
+    /// Records a place as granted for at most `left`, and returns the answer,
+    /// or `None` if the question has already been answered.
     fn grant(
         &self,
         dispatcher: &Dispatcher,
@@ -100,7 +100,7 @@
         duplicate.is_none().then_some(Verdict::Placed(placed))
     }
 
-    /// Takes in how a place was used.
+    /// Handles a requester's report about the use of a place.
     pub(super) fn handle_event(
         &self,
         from: SocketAddr,
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Takes back what is over without a word.
+    /// Reclaims places that ended without a report of their end.
     pub(super) fn reclaim_ended(&self, dispatcher: &Dispatcher) {
         let now = dispatcher.facts().now();
         let totals = dispatcher.reported_totals();
@@ -157,8 +157,8 @@
         drop((expired, unseen));
     }
 
-    /// Returns how many places are out, and how many were taken back without
-    /// a word of their end.
+    /// Returns the number of granted places, and the total number that were
+    /// reclaimed without a report of their end.
     pub(super) fn counts(&self) -> (usize, u64) {
         self.lock().counts()
     }
--- a/crates/gateway/src/request_context.rs
+++ b/crates/gateway/src/request_context.rs
@@ -1,4 +1,4 @@
-//! One request over all its attempts.
+//! The context of a request, shared by all its attempts.
 
 use std::sync::{Arc, OnceLock};
 use std::time::{Duration, Instant};
@@ -11,31 +11,33 @@
 
 use crate::dialect::CallerRequest;
 
-/// What stays the same over all attempts of one request.
+/// The parts of a request that are the same for all its attempts.
 pub(crate) struct RequestContext {
     pub caller: CallerRequest,
     pub route: Arc<Route>,
     pub service: Arc<str>,
     pub workspace: Option<Arc<str>>,
     pub priority: u8,
-    /// Where it may be served.
+    /// The regions where it may be served.
     pub regions: AllowedRegions,
+    /// The revision of the routes that matched it.
     pub revision: u64,
     pub started: Instant,
     pub deadline: Instant,
     pub head: Parts,
     pub body: Bytes,
-    /// Worked out when it is first asked for: few requests need it.
+    /// Computed on first use, because few requests need it.
     pub fingerprint: OnceLock<Fingerprint>,
 }
 
 impl RequestContext {
-    /// Returns what is left of the request's time.
+    /// Returns the time until the request's deadline.
     pub(crate) fn remaining(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// Returns the name of what is asked, the same for all tries.
+    /// Returns the fingerprint of the request's content, which is the same
+    /// when the caller sends it again.
     pub(crate) fn fingerprint(&self) -> Fingerprint {
         *self.fingerprint.get_or_init(|| {
             let host = self.head.headers.get(HOST);
@@ -50,8 +52,8 @@
         })
     }
 
-    /// Returns whose it is: the workspace, or where the route asks for none,
-    /// the key that was sent all the same.
+    /// Returns the workspace's name or, if the route requires no key, the key
+    /// that the caller sent anyway.
     fn caller_name(&self) -> &str {
         let key = self.caller.key.as_deref().unwrap_or("");
         self.workspace.as_deref().unwrap_or(key)
