--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -285,7 +285,7 @@
     ) {
         let mut state = self.lock();
         let known = state.known.entry(Arc::clone(incarnation)).or_default();
-        let tells_entries =
+        let reports_entries =
             report.entries.is_some() || report.leading.is_some();
         if let Some(last) = &mut known.reported {
             report.keep_from(&mut last.report);
@@ -295,7 +295,7 @@
         known.load = known.load.with_report(report.queued, report.running);
         known.reported = Some(ReceivedReport { report, at: Instant::now() });
         state.contention.record_report(own, all);
-        if tells_entries {
+        if reports_entries {
             self.rank_entries(&mut state);
         }
         drop(state);
@@ -315,10 +315,10 @@
     pub(crate) fn drop_report(&self, incarnation: &Arc<str>) {
         let mut state = self.lock();
         if let Some(known) = state.known.get_mut(incarnation) {
-            let told = known.drop_report();
+            let had_report = known.drop_report();
             // This is called on each retry while the agent is unreachable;
             // only the first call changes anything.
-            if told {
+            if had_report {
                 self.rank_entries(&mut state);
             }
         }
--- a/crates/gateway/src/dispatch/find.rs
+++ b/crates/gateway/src/dispatch/find.rs
@@ -63,10 +63,10 @@
     /// Chooses the best replica. Failing replicas are considered only if there
     /// are no others.
     fn best(&self) -> Option<(Arc<Replica>, Terms)> {
-        let well = self.healthy.best().or_else(|| self.at_risk.best());
-        let any_well = !self.healthy.candidates.is_empty()
+        let available = self.healthy.best().or_else(|| self.at_risk.best());
+        let has_available = !self.healthy.candidates.is_empty()
             || !self.at_risk.candidates.is_empty();
-        if any_well { well } else { self.failing.best() }
+        if has_available { available } else { self.failing.best() }
     }
 }
 
@@ -227,14 +227,14 @@
             return None;
         }
         let suspected = need.suspicion.ended > 0;
-        let shared = known.has_trial() || (suspected && known.has_suspect());
+        let at_risk = known.has_trial() || (suspected && known.has_suspect());
         let fitness = match known.health.is_available(self.facts.now()) {
-            true if shared => Fitness::AtRisk,
+            true if at_risk => Fitness::AtRisk,
             true => Fitness::Healthy,
             false => Fitness::Failing,
         };
-        let room = self.evacuation_capacity(view, &replica.hall);
-        let slots = (f64::from(replica.slots) * room) as u32;
+        let capacity_fraction = self.evacuation_capacity(view, &replica.hall);
+        let slots = (f64::from(replica.slots) * capacity_fraction) as u32;
         let latency = engine.map_or_else(
             || LatencyModel::plain(slots),
             |engine| LatencyModel { entries, ..engine.latency_model(slots) },
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -199,16 +199,16 @@
             .ok_or_else(|| Error::new(Code::NoBackend, "no destination"))?;
         let patience = caller.patience.unwrap_or(DEFAULT_TIMEOUT);
         let deadline = started + patience.min(route.timeout());
-        let most = self.settings.get().body_bytes;
-        let within = deadline.saturating_duration_since(Instant::now());
-        let body = read(body, most, within).await?;
+        let max_bytes = self.settings.get().body_bytes;
+        let timeout = deadline.saturating_duration_since(Instant::now());
+        let body = read(body, max_bytes, timeout).await?;
         let priority = workspace
             .as_ref()
             .and_then(|w| w.priority)
             .unwrap_or(route.priority);
-        let of_workspace = workspace.as_ref().map(|w| w.regions.clone());
+        let workspace_regions = workspace.as_ref().map(|w| w.regions.clone());
         let regions =
-            route.regions.intersection(&of_workspace.unwrap_or_default());
+            route.regions.intersection(&workspace_regions.unwrap_or_default());
         let context = Arc::new(RequestContext {
             caller,
             service,
@@ -262,9 +262,9 @@
             return Ok(Response::from_parts(head, relay(state)));
         }
         let Upstream { body, connection, mut place, .. } = upstream;
-        let most = self.settings.get().body_bytes;
+        let max_bytes = self.settings.get().body_bytes;
         let bytes =
-            read(body, most, context.remaining()).await.map_err(|e| {
+            read(body, max_bytes, context.remaining()).await.map_err(|e| {
                 place.record_outcome(Outcome::Failed);
                 match e.code() {
                     Code::MalformedHttp => AttemptError::connection_lost(e),
@@ -275,10 +275,10 @@
         if is_framed(&head.headers) {
             self.poison.record_answer(context);
         }
-        let mut retried = false;
+        let mut retry = false;
         let failed = status.is_server_error();
         if failed && context.route.repeat != Repeat::Never {
-            retried = self.has_retry_left(context, &place);
+            retry = self.has_retry_left(context, &place);
         } else {
             place.record_outcome(Outcome::Succeeded);
         }
@@ -292,7 +292,7 @@
         strip(&mut head.headers);
         head.headers.remove(CONTENT_LENGTH);
         let response = Response::from_parts(head, full(bytes));
-        if retried {
+        if retry {
             return Err(AttemptError { failure: Some(response), ..error });
         }
         self.log_ended(context, status.as_u16(), 0, "", None);
--- a/crates/gateway/src/forward/attempts.rs
+++ b/crates/gateway/src/forward/attempts.rs
@@ -91,12 +91,12 @@
                     suspicion,
                 )
                 .await;
-            let may = attempt < context.route.attempts
+            let may_retry = attempt < context.route.attempts
                 && !known.is_quarantined()
                 && !context.remaining().is_zero()
                 && self.spend_retry(&context.service);
             let repeat = context.route.repeat;
-            let next = next_step(error.result, repeat, ran, may);
+            let next = next_step(error.result, repeat, ran, may_retry);
             let failed = FailedAttempt {
                 replica,
                 sent,
--- a/crates/gateway/src/placing.rs
+++ b/crates/gateway/src/placing.rs
@@ -53,7 +53,7 @@
     own: SocketAddr,
     wire: Arc<Wire>,
     /// Whether one entry places requests for the whole hall.
-    places: bool,
+    hall_placing: bool,
     gossip: Arc<PoisonGossip>,
     asker: Asker,
     choice: Mutex<PlacerChoice>,
@@ -70,17 +70,18 @@
     }
 
     /// Returns the placing of an entry that others reach at `own`, the address
-    /// of `wire`. Without `places` each entry selects replicas by itself.
+    /// of `wire`. Without `hall_placing` each entry selects replicas by
+    /// itself.
     pub(crate) fn new(
         dispatcher: Arc<Dispatcher>,
         own: SocketAddr,
         wire: Arc<Wire>,
-        places: bool,
+        hall_placing: bool,
         gossip: Arc<PoisonGossip>,
     ) -> HallPlacing {
         let peers = Peers {
             own,
-            places,
+            hall_placing,
             gossip,
             asker: Asker::new(Arc::clone(&wire)),
             wire,
@@ -105,7 +106,8 @@
             .tried
             .extend(resting.iter().take(MAX_RESTING_NAMED).cloned());
         need.tried.extend(resting);
-        let Some(peers) = self.peers.as_ref().filter(|p| p.places) else {
+        let Some(peers) = self.peers.as_ref().filter(|p| p.hall_placing)
+        else {
             let no_peers = self.peers.is_none();
             let chooser =
                 if no_peers { Chooser::NoPeers } else { Chooser::Independent };
@@ -277,7 +279,7 @@
         peers.choice().retain(&leading);
         let placer = HallRole::of(peers.own, &leading) == HallRole::Placer;
         let ready =
-            peers.places && placer && self.dispatcher.has_hall_reports();
+            peers.hall_placing && placer && self.dispatcher.has_hall_reports();
         peers.ready.store(ready, Ordering::Relaxed);
         peers.granted.reclaim_ended(&self.dispatcher);
     }
