--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -1,4 +1,4 @@
-//! One request, from its head to the head of its answer.
+//! Forwarding of a request, up to the head of its answer.
 
 mod attempts;
 mod log;
@@ -41,8 +41,8 @@
 use crate::request_context::RequestContext;
 use crate::settings::EntrySettings;
 
-/// A time limit that nobody named.
-const DEFAULT_PATIENCE: Duration = Duration::from_secs(60);
+/// The time limit of a request whose caller sets none.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Forwards the requests of one entry.
 pub(crate) struct Forwarder {
@@ -54,36 +54,36 @@
     pub metrics: Arc<EntryMetrics>,
     pub pool: Pool,
     pub poison: Arc<PoisonWatch>,
-    shares: Mutex<HashMap<Arc<str>, RetryShare>>,
+    retry_shares: Mutex<HashMap<Arc<str>, RetryShare>>,
     shutdown: Shutdown,
 }
 
-/// A sent attempt that brought the head of its own answer.
+/// An attempt that received the head of its answer.
 pub(crate) struct Answered {
     pub head: response::Parts,
     pub upstream: Upstream,
 }
 
-/// An attempt that brought no usable answer.
-pub(crate) struct Missed {
+/// The failure of an attempt that got no usable answer.
+pub(crate) struct AttemptError {
     pub result: AttemptResult,
     pub reason: String,
-    /// Whether the connection ended under it.
-    pub cut: bool,
-    /// The replica's own answer, if it came whole: another replica may do
-    /// better, and if none does it is the caller's.
+    /// Whether the connection was lost during the attempt.
+    pub connection_lost: bool,
+    /// The replica's complete error response, if any. The caller gets it if no
+    /// other replica succeeds.
     pub failure: Option<Response<Body>>,
 }
 
-impl Missed {
-    fn new(result: AttemptResult, reason: impl ToString) -> Missed {
+impl AttemptError {
+    fn new(result: AttemptResult, reason: impl ToString) -> AttemptError {
         let reason = reason.to_string();
-        Missed { result, reason, cut: false, failure: None }
+        AttemptError { result, reason, connection_lost: false, failure: None }
     }
 
-    fn cut(reason: impl ToString) -> Missed {
-        let missed = Missed::new(AttemptResult::NoResponse, reason);
-        Missed { cut: true, ..missed }
+    fn connection_lost(reason: impl ToString) -> AttemptError {
+        let error = AttemptError::new(AttemptResult::NoResponse, reason);
+        AttemptError { connection_lost: true, ..error }
     }
 }
 
@@ -116,13 +116,13 @@
             dialect,
             metrics,
             pool: Pool::default(),
-            shares: Mutex::default(),
+            retry_shares: Mutex::default(),
             shutdown,
         }
     }
 
-    /// Ends connections that have rested too long, and sets gauges.
-    pub(crate) fn keep_house(&self) {
+    /// Closes idle connections, drops expired state and updates gauges.
+    pub(crate) fn sweep_and_update_gauges(&self) {
         self.pool.sweep();
         self.dispatcher.sweep();
         let (running, waiting) = self.dispatcher.load();
@@ -184,11 +184,12 @@
     ) -> Result<Response<Body>, Failed> {
         let view = self.facts.view();
         let Some(routes) = view.routes.clone() else {
-            let error = Error::new(Code::NoRoutes, "none are known yet");
+            let error =
+                Error::new(Code::NoRoutes, "no routes have been read yet");
             return Err(refused(error, Shortage::NoReplica));
         };
         drop(view);
-        // Faults of the head are told before a byte of the body is read.
+        // Errors in the head are answered before any of the body is read.
         let caller = caller?;
         let route = find_route(&routes, &head)?;
         let workspace = find_workspace(&routes, &route, &caller)?;
@@ -196,18 +197,18 @@
             .service(rand::rng().random())
             .map(Arc::clone)
             .ok_or_else(|| Error::new(Code::NoBackend, "no destination"))?;
-        let patience = caller.patience.unwrap_or(DEFAULT_PATIENCE);
+        let patience = caller.patience.unwrap_or(DEFAULT_TIMEOUT);
         let deadline = started + patience.min(route.timeout());
-        let most = self.settings.get().body_bytes;
-        let within = deadline.saturating_duration_since(Instant::now());
-        let body = read(body, most, within).await?;
+        let max_bytes = self.settings.get().body_bytes;
+        let timeout = deadline.saturating_duration_since(Instant::now());
+        let body = read(body, max_bytes, timeout).await?;
         let priority = workspace
             .as_ref()
             .and_then(|w| w.priority)
             .unwrap_or(route.priority);
-        let of_workspace = workspace.as_ref().map(|w| w.regions.clone());
+        let workspace_regions = workspace.as_ref().map(|w| w.regions.clone());
         let regions =
-            route.regions.intersection(&of_workspace.unwrap_or_default());
+            route.regions.intersection(&workspace_regions.unwrap_or_default());
         let context = Arc::new(RequestContext {
             caller,
             service,
@@ -223,29 +224,31 @@
             fingerprint: OnceLock::new(),
         });
         self.share(&context.service, |s| s.record_request(self.facts.now()));
-        let answered = Arc::clone(&self).attempts(Arc::clone(&context)).await;
+        let answered =
+            Arc::clone(&self).run_attempts(Arc::clone(&context)).await;
         if answered.is_err() {
-            self.poison.given_up(&context);
+            self.poison.record_give_up(&context);
         }
         answered
     }
 
-    /// Passes an answer on: a stream as it comes, all else once it is whole.
-    async fn pass_on(
+    /// Relays an answer to the caller: a stream as it arrives, any other
+    /// answer once it is complete.
+    async fn relay_answer(
         self: &Arc<Self>,
         context: &Arc<RequestContext>,
         answered: Answered,
         suspicion: Suspicion,
-    ) -> Result<Response<Body>, Missed> {
+    ) -> Result<Response<Body>, AttemptError> {
         let Answered { mut head, mut upstream } = answered;
         let status = head.status;
         if head.headers.contains_key(CONTENT_ENCODING) {
-            let why = "an encoding that nobody asked for";
-            return Err(Missed::new(AttemptResult::NoResponse, why));
+            let why = "unrequested content encoding in the answer";
+            return Err(AttemptError::new(AttemptResult::NoResponse, why));
         }
         self.metrics.answered(context.started.elapsed().as_secs_f64());
         if context.route.streaming && status.is_success() {
-            upstream.place.note(Outcome::Succeeded);
+            upstream.place.record_outcome(Outcome::Succeeded);
             let kept = head.headers.clone();
             strip(&mut head.headers);
             head.headers.remove(CONTENT_LENGTH);
@@ -259,42 +262,45 @@
             return Ok(Response::from_parts(head, relay(state)));
         }
         let Upstream { body, connection, mut place, .. } = upstream;
-        let most = self.settings.get().body_bytes;
-        let bytes = read(body, most, context.left()).await.map_err(|e| {
-            place.note(Outcome::Failed);
-            match e.code() {
-                Code::MalformedHttp => Missed::cut(e),
-                _ => Missed::new(AttemptResult::NoResponse, e),
-            }
-        })?;
+        let max_bytes = self.settings.get().body_bytes;
+        let bytes =
+            read(body, max_bytes, context.remaining()).await.map_err(|e| {
+                place.record_outcome(Outcome::Failed);
+                match e.code() {
+                    Code::MalformedHttp => AttemptError::connection_lost(e),
+                    _ => AttemptError::new(AttemptResult::NoResponse, e),
+                }
+            })?;
         self.pool.put(connection, &head.headers);
         if is_framed(&head.headers) {
-            self.poison.answered(context);
+            self.poison.record_answer(context);
         }
-        let mut retried = false;
+        let mut retry = false;
         let failed = status.is_server_error();
         if failed && context.route.repeat != Repeat::Never {
-            retried = self.has_retry_left(context, &place);
+            retry = self.has_retry_left(context, &place);
         } else {
-            place.note(Outcome::Succeeded);
+            place.record_outcome(Outcome::Succeeded);
         }
         let why = format!("the replica answered {status}");
-        let missed = Missed::new(AttemptResult::NoResponse, why);
+        let error = AttemptError::new(AttemptResult::NoResponse, why);
         if promises(status.as_u16()) {
-            // It may have run, and this status would say that it did not.
-            return Err(missed);
+            // The request may have run, but this status would tell the caller
+            // that it did not.
+            return Err(error);
         }
         strip(&mut head.headers);
         head.headers.remove(CONTENT_LENGTH);
         let response = Response::from_parts(head, full(bytes));
-        if retried {
-            return Err(Missed { failure: Some(response), ..missed });
+        if retry {
+            return Err(AttemptError { failure: Some(response), ..error });
         }
         self.log_ended(context, status.as_u16(), 0, "", None);
         Ok(response)
     }
 
-    /// Whether a failed answer is worth another replica.
+    /// Returns whether a request that got an error response can be retried at
+    /// another replica.
     fn has_retry_left(&self, context: &RequestContext, place: &Place) -> bool {
         let view = self.facts.view();
         let others = view
@@ -303,12 +309,14 @@
         others && context.route.attempts > 1
     }
 
-    /// Spends a retry of a service's share, if there is one.
-    pub(crate) fn spend(&self, service: &Arc<str>) -> bool {
+    /// Takes a retry from this entry's share of the service's retry budget;
+    /// returns whether there was one.
+    pub(crate) fn spend_retry(&self, service: &Arc<str>) -> bool {
         let now = self.facts.now();
         self.share(service, |share| share.try_spend(now))
     }
 
+    /// Calls `act` with this entry's share of a service's retry budget.
     fn share<T>(
         &self,
         service: &Arc<str>,
@@ -318,7 +326,7 @@
         let window = Duration::from_secs_f64(bound.window_s);
         let entries = self.dispatcher.fleet_entries();
         let mut shares =
-            self.shares.lock().unwrap_or_else(PoisonError::into_inner);
+            self.retry_shares.lock().unwrap_or_else(PoisonError::into_inner);
         let share = shares.entry(Arc::clone(service)).or_default();
         share.set_limits(window, bound.ratio, bound.minimum, entries);
         act(share)
--- a/crates/gateway/src/forward/attempts.rs
+++ b/crates/gateway/src/forward/attempts.rs
@@ -1,4 +1,4 @@
-//! A request's attempts, one after the other, and what each one tells.
+//! The sequence of a request's attempts, and the evaluation of each.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -13,30 +13,30 @@
 use stairhinge_shell::http::{Body, Failed};
 
 use super::refuse::{lost, quarantined, refused};
-use super::{Forwarder, Missed};
+use super::{AttemptError, Forwarder};
 use crate::connect::has_ended;
 use crate::dispatch::{Place, ReplicaCount};
 use crate::request_context::RequestContext;
 
-/// How long a request may wait for a replica with room, as a part of its
-/// objective: its caller can still come back and be in time. A replica's slot
-/// gets free in a hall of 24 engines each 6 ms.
-const WAIT_PART: u32 = 8;
+/// A request waits for a replica with capacity for at most its latency
+/// objective divided by this, so that its caller can still retry in time. In
+/// a hall of 24 engines a slot becomes free every 6 ms.
+const WAIT_DIVISOR: u32 = 8;
 
-/// An attempt that did not end well.
+/// An attempt that failed.
 pub(crate) struct FailedAttempt {
     pub replica: Arc<Replica>,
     pub sent: Instant,
     pub reason: String,
-    /// Whether the replica's process has ended, if that was asked.
+    /// Whether the replica's process has ended, if that was checked.
     pub replica_ended: Option<bool>,
 }
 
 impl Forwarder {
-    /// Sends a request to one replica after the other. If none does better,
-    /// the caller gets the failure that a replica answered, as it is: it tells
-    /// more than that the backend was lost.
-    pub(super) async fn attempts(
+    /// Sends a request to one replica after the other. If none succeeds, the
+    /// caller gets the last error response of a replica unchanged, because it
+    /// is more informative than an error about a lost backend.
+    pub(super) async fn run_attempts(
         self: Arc<Self>,
         context: Arc<RequestContext>,
     ) -> Result<Response<Body>, Failed> {
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Sends a request to one replica after the other, and keeps the last
-    /// failure that one of them answered.
+    /// Sends a request to one replica after the other, and stores the last
+    /// error response of a replica in `failure`.
     async fn try_replicas(
         self: &Arc<Self>,
         context: &Arc<RequestContext>,
@@ -69,46 +69,53 @@
             let sent = Instant::now();
             let replica = Arc::clone(&place.replica);
             let after = context.caller.after_event;
-            let mut missed =
+            let mut error =
                 match self.send(context, place, attempt, after).await {
                     Ok(answered) => {
                         let passed =
-                            self.pass_on(context, answered, suspicion);
+                            self.relay_answer(context, answered, suspicion);
                         match passed.await {
                             Ok(response) => return Ok(response),
-                            Err(missed) => missed,
+                            Err(error) => error,
                         }
                     }
-                    Err(missed) => missed,
+                    Err(error) => error,
                 };
-            *failure = missed.failure.take().or(failure.take());
-            ran |= matches!(missed.result, AttemptResult::NoResponse);
-            let (replica_ended, known) =
-                self.examine(context, &replica, missed.cut, suspicion).await;
-            let may = attempt < context.route.attempts
+            *failure = error.failure.take().or(failure.take());
+            ran |= matches!(error.result, AttemptResult::NoResponse);
+            let (replica_ended, known) = self
+                .check_replica_ended(
+                    context,
+                    &replica,
+                    error.connection_lost,
+                    suspicion,
+                )
+                .await;
+            let may_retry = attempt < context.route.attempts
                 && !known.is_quarantined()
-                && !context.left().is_zero()
-                && self.spend(&context.service);
+                && !context.remaining().is_zero()
+                && self.spend_retry(&context.service);
             let repeat = context.route.repeat;
-            let next = next_step(missed.result, repeat, ran, may);
+            let next = next_step(error.result, repeat, ran, may_retry);
             let failed = FailedAttempt {
                 replica,
                 sent,
-                reason: missed.reason.clone(),
+                reason: error.reason.clone(),
                 replica_ended,
             };
             self.log_failed(context, &failed, next);
             match next {
                 NextStep::Retry => self.metrics.retries.inc(),
-                NextStep::Refuse => return Err(declined(&missed)),
-                NextStep::Fail => return Err(lost(context, &missed)),
+                NextStep::Refuse => return Err(declined(&error)),
+                NextStep::Fail => return Err(lost(context, &error)),
             };
             attempt += 1;
         }
     }
 
-    /// Waits for a place at a replica, for a request that may be sent on both
-    /// before and after that. `need` gets what is known of it.
+    /// Waits for a place at a replica, and checks both before and after that
+    /// whether the request is quarantined. Stores the suspicion against it in
+    /// `need`.
     async fn admitted_place(
         &self,
         context: &RequestContext,
@@ -118,8 +125,8 @@
         let admitted = self.poison.admit(context);
         need.suspicion = admitted.map_err(|r| quarantined(&r, ran))?;
         let place = self.place(context, need, ran).await;
-        let place = place.inspect_err(|_| self.poison.released(context))?;
-        let admitted = self.poison.still_admits(context, need.suspicion);
+        let place = place.inspect_err(|_| self.poison.finish_run(context))?;
+        let admitted = self.poison.recheck(context, need.suspicion);
         admitted.map_err(|r| quarantined(&r, ran))?;
         Ok(place)
     }
@@ -132,48 +139,50 @@
         ran: bool,
     ) -> Result<Place, Failed> {
         let from = Instant::now();
-        let until =
-            context.deadline.min(from + context.route.objective() / WAIT_PART);
-        let left = context.left();
+        let until = context
+            .deadline
+            .min(from + context.route.objective() / WAIT_DIVISOR);
+        let left = context.remaining();
         let found = self.placing.place(need.clone(), until, left).await;
         self.metrics.waited(from.elapsed().as_secs_f64());
-        let lack = match found {
+        let reason = match found {
             Ok(place) => return Ok(place),
-            Err(lack) => lack,
+            Err(reason) => reason,
         };
         let count = self.log_no_replica(context, need, from);
         if ran {
-            return Err(Failed::new(Error::new(Code::LostBackend, lack)));
+            return Err(Failed::new(Error::new(Code::LostBackend, reason)));
         }
-        let (code, shortage) = match lack {
+        let (code, shortage) = match reason {
             NoPlaceReason::Room => (Code::NoBackend, Shortage::NoCapacity),
             NoPlaceReason::Replica => {
                 (Code::NoBackend, no_replica_shortage(&count))
             }
             NoPlaceReason::Region => (Code::NoRegion, Shortage::NoReplica),
         };
-        Err(refused(Error::new(code, lack), shortage))
+        Err(refused(Error::new(code, reason), shortage))
     }
 
-    /// Looks at a replica from which no whole answer came: whether its process
-    /// has ended, and what is known of the request now, of which `sent` was
-    /// known when it was sent there. The replica is asked only where the
-    /// connection to it ended, since all else has other causes.
-    pub(crate) async fn examine(
+    /// Checks a replica that returned no complete answer. Returns whether its
+    /// process has ended, if that was checked, and the updated suspicion
+    /// against the request. `sent` is the suspicion at the time of sending.
+    /// Only a lost connection leads to the check, because other failures have
+    /// other causes.
+    pub(crate) async fn check_replica_ended(
         &self,
         context: &RequestContext,
         replica: &Replica,
-        cut: bool,
+        connection_lost: bool,
         sent: Suspicion,
     ) -> (Option<bool>, Suspicion) {
-        self.poison.released(context);
-        if !cut {
+        self.poison.finish_run(context);
+        if !connection_lost {
             return (None, sent);
         }
         if !has_ended(replica.addr).await {
             return (Some(false), sent);
         }
-        let known = self.poison.ended_under(context, replica, sent);
+        let known = self.poison.record_crash(context, replica, sent);
         (Some(true), known)
     }
 }
@@ -187,15 +196,16 @@
 }
 
 /// Returns the refusal of a request that no replica has run.
-fn declined(missed: &Missed) -> Failed {
-    let why = format!("declined: {}", missed.reason);
-    let shortage = match missed.result {
+fn declined(error: &AttemptError) -> Failed {
+    let why = format!("declined: {}", error.reason);
+    let shortage = match error.result {
         AttemptResult::Unsent => Shortage::Unreachable,
         _ => Shortage::Declined,
     };
     refused(Error::new(Code::NoBackend, why), shortage)
 }
 
+/// Returns the requirements that a replica has to meet for a request.
 fn need(context: &RequestContext) -> Need {
     Need {
         service: Arc::clone(&context.service),
--- a/crates/gateway/src/forward/refuse.rs
+++ b/crates/gateway/src/forward/refuse.rs
@@ -1,4 +1,4 @@
-//! The system's own answers to requests that it gives up on.
+//! Error responses of the entry itself.
 
 use std::time::Instant;
 
@@ -10,11 +10,11 @@
 use stairhinge_shell::decisions::Decision;
 use stairhinge_shell::http::{Body, Failed};
 
-use super::{Forwarder, Missed};
+use super::{AttemptError, Forwarder};
 use crate::request_context::RequestContext;
 
 impl Forwarder {
-    /// Answers with a failure, and logs it.
+    /// Returns the response for a failure, and logs it.
     pub(super) fn refusal(
         &self,
         id: &str,
@@ -27,7 +27,7 @@
         }
         let status = response.status().as_u16();
         let code = failed.error().code();
-        let age = self.facts.routes_age().filter(|_| by_routes(code));
+        let age = self.facts.routes_age().filter(|_| depends_on_routes(code));
         let code = code.number();
         self.metrics.ended(status, code);
         self.facts.log().write(&Decision::Ended {
@@ -44,20 +44,22 @@
     }
 }
 
-/// Whether the routes in force decide that a request is refused.
-const fn by_routes(code: Code) -> bool {
+/// Returns whether the refusal depends on the current routes, so that the age
+/// of the routes is logged with it.
+const fn depends_on_routes(code: Code) -> bool {
     matches!(code, Code::UnknownRoute | Code::UnknownKey | Code::MissingKey)
 }
 
-/// Returns the refusal of a request that has not run, with when its caller
-/// may come back.
+/// Returns the refusal of a request that has not run, with the time after
+/// which the caller may retry.
 pub(super) fn refused(error: Error, shortage: Shortage) -> Failed {
     let span = shortage.retry_after(rand::rng().random());
     Failed::new(error).with_back(span)
 }
 
-/// Returns the answer to a request that is kept from replicas, with when it
-/// may be sent again; or that it may have run, if an earlier attempt may.
+/// Returns the refusal of a quarantined request, with the time after which the
+/// caller may retry. If an earlier attempt may have run, the refusal says so
+/// instead.
 pub(super) fn quarantined(refusal: &Refusal, ran: bool) -> Failed {
     if ran {
         return Failed::new(Error::new(Code::LostBackend, refusal));
@@ -67,11 +69,11 @@
 }
 
 /// Returns the failure of a request that may have run.
-pub(super) fn lost(context: &RequestContext, missed: &Missed) -> Failed {
-    let code = if context.left().is_zero() {
+pub(super) fn lost(context: &RequestContext, error: &AttemptError) -> Failed {
+    let code = if context.remaining().is_zero() {
         Code::TimedOut
     } else {
         Code::LostBackend
     };
-    Failed::new(Error::new(code, &missed.reason)).with_ran(Ran::MayHaveRun)
+    Failed::new(Error::new(code, &error.reason)).with_ran(Ran::MayHaveRun)
 }
--- a/crates/gateway/src/forward/send.rs
+++ b/crates/gateway/src/forward/send.rs
@@ -1,4 +1,4 @@
-//! One attempt, from its sending to the head of its answer.
+//! One attempt, from sending the request to the head of its answer.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -12,7 +12,7 @@
 use stairhinge::direct::{AttemptResult, Repeat};
 use stairhinge::placing::Outcome;
 
-use super::{Answered, Forwarder, Missed};
+use super::{Answered, AttemptError, Forwarder};
 use crate::dialect::{Attempt, Judgement};
 use crate::dispatch::Place;
 use crate::hop_headers::strip;
@@ -22,7 +22,7 @@
 
 /// How long a repeatable request may wait for the head of its answer before
 /// another replica is tried.
-const HEAD_PATIENCE: Duration = Duration::from_millis(1_500);
+const HEAD_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 impl Forwarder {
     /// Sends one attempt and waits for the head of its answer.
@@ -32,38 +32,41 @@
         mut place: Place,
         attempt: u32,
         after_event: Option<u64>,
-    ) -> Result<Answered, Missed> {
+    ) -> Result<Answered, AttemptError> {
         let replica = Arc::clone(&place.replica);
         let never = context.route.repeat == Repeat::Never;
         let incarnation = &replica.incarnation;
         let got = self.pool.get(incarnation, replica.addr, never).await;
         let mut connection = got.map_err(|e| {
-            place.note(Outcome::Failed);
-            Missed::new(AttemptResult::Unsent, e)
+            place.record_outcome(Outcome::Failed);
+            AttemptError::new(AttemptResult::Unsent, e)
         })?;
-        let left = context.left();
+        let left = context.remaining();
         if left.is_zero() {
-            return Err(Missed::new(AttemptResult::Unsent, "no time left"));
+            return Err(AttemptError::new(
+                AttemptResult::Unsent,
+                "no time left",
+            ));
         }
         self.log_sent(context, &place, attempt, left);
         let at = Instant::now();
         let sent_at = self.facts.now();
         let request = self.request(context, &place, left, after_event);
-        let mut patience = if never { left } else { left.min(HEAD_PATIENCE) };
+        let mut timeout = if never { left } else { left.min(HEAD_TIMEOUT) };
         if let Some(begin_by) = place.begin_by {
-            patience = patience.min(begin_by.since(self.facts.now()));
+            timeout = timeout.min(begin_by.since(self.facts.now()));
         }
         let sent = connection.send(request);
-        let response = match tokio::time::timeout(patience, sent).await {
+        let response = match tokio::time::timeout(timeout, sent).await {
             Ok(Ok(response)) => response,
             Ok(Err(error)) => {
-                place.note(Outcome::Failed);
-                return Err(Missed::cut(error));
+                place.record_outcome(Outcome::Failed);
+                return Err(AttemptError::connection_lost(error));
             }
             Err(_) => {
-                place.note(Outcome::Failed);
-                let why = format!("no answer in {} ms", patience.as_millis());
-                return Err(Missed::new(AttemptResult::NoResponse, why));
+                place.record_outcome(Outcome::Failed);
+                let why = format!("no answer in {} ms", timeout.as_millis());
+                return Err(AttemptError::new(AttemptResult::NoResponse, why));
             }
         };
         let (head, body) = response.into_parts();
@@ -73,41 +76,41 @@
         }
         match judgement {
             Judgement::Answer { version } => {
-                place.begin();
+                place.record_begin();
                 let upstream =
                     Upstream { body, connection, place, sent: at, version };
                 Ok(Answered { head, upstream })
             }
             Judgement::Declined => {
-                place.note(Outcome::Full);
+                place.record_outcome(Outcome::Full);
                 self.reuse(connection, head, body).await;
-                let why = "the replica did not run it";
-                Err(Missed::new(AttemptResult::Declined, why))
+                let why = "the replica declined the request";
+                Err(AttemptError::new(AttemptResult::Declined, why))
             }
             Judgement::Misdirected => {
-                place.note(Outcome::Misdirected);
+                place.record_outcome(Outcome::Misdirected);
                 self.reuse(connection, head, body).await;
                 let why = "the replica is another one, or has another version";
-                Err(Missed::new(AttemptResult::Declined, why))
+                Err(AttemptError::new(AttemptResult::Declined, why))
             }
             Judgement::Foreign => {
-                let why = "an answer to another request";
-                Err(Missed::new(AttemptResult::NoResponse, why))
+                let why = "the answer belongs to another request";
+                Err(AttemptError::new(AttemptResult::NoResponse, why))
             }
         }
     }
 
-    /// Reads the short rest of an answer so that its connection may be kept.
+    /// Reads the rest of a short answer so that its connection can be reused.
     async fn reuse(
         &self,
         connection: Connection,
         head: response::Parts,
         body: Incoming,
     ) {
-        const MOST: usize = 4_096;
-        const WITHIN: Duration = Duration::from_millis(20);
-        let rest = Limited::new(body, MOST).collect();
-        if let Ok(Ok(_)) = tokio::time::timeout(WITHIN, rest).await {
+        const MAX_REST_BYTES: usize = 4_096;
+        const REST_TIMEOUT: Duration = Duration::from_millis(20);
+        let rest = Limited::new(body, MAX_REST_BYTES).collect();
+        if let Ok(Ok(_)) = tokio::time::timeout(REST_TIMEOUT, rest).await {
             self.pool.put(connection, &head.headers);
         }
     }
--- a/crates/gateway/src/placing/asker.rs
+++ b/crates/gateway/src/placing/asker.rs
@@ -1,4 +1,4 @@
-//! Questions that this entry has out.
+//! Pending questions of this entry to placers.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,51 +14,53 @@
 use super::lease::Lease;
 use crate::wire::Wire;
 
-/// Asks placers.
+/// Sends questions to placers and receives the answers.
 pub(super) struct Asker {
     wire: Arc<Wire>,
-    out: Arc<Mutex<Out>>,
+    pending: Arc<Mutex<PendingQuestions>>,
 }
 
-/// The questions without a last answer.
-struct Out {
-    /// The number of the next question. The first is drawn, so that a placer
-    /// takes none of a new process for one of its predecessor.
-    next: u64,
+/// The questions without a final answer.
+struct PendingQuestions {
+    /// The number of the last question. It starts at a random value, so that a
+    /// placer does not confuse the questions of a restarted process with those
+    /// of its predecessor.
+    last_number: u64,
     waiting: HashMap<u64, mpsc::UnboundedSender<Verdict>>,
 }
 
-/// What came back.
+/// The result of waiting for an answer.
 #[derive(Debug, PartialEq)]
 pub(super) enum Answer {
-    /// The placer's word.
+    /// The placer's answer.
     Verdict(Verdict),
-    /// Nothing in time.
-    Silence,
+    /// No answer arrived in time.
+    Timeout,
 }
 
 impl Asker {
-    /// Returns an asker without questions.
+    /// Returns an asker without pending questions.
     pub(super) fn new(wire: Arc<Wire>) -> Asker {
-        let next = u64::from(rand::rng().random::<u32>()) << 20;
-        let out = Out { next, waiting: HashMap::new() };
-        Asker { wire, out: Arc::new(Mutex::new(out)) }
+        let last_number = u64::from(rand::rng().random::<u32>()) << 20;
+        let pending =
+            PendingQuestions { last_number, waiting: HashMap::new() };
+        Asker { wire, pending: Arc::new(Mutex::new(pending)) }
     }
 
-    /// Asks for a place.
+    /// Asks a placer for a place.
     pub(super) fn ask(
         &self,
         placer: SocketAddr,
         need: &Need,
         until: Instant,
         left: Duration,
-    ) -> Asking {
+    ) -> PendingQuestion {
         let (sender, answers) = mpsc::unbounded_channel();
         let number = {
-            let mut out = lock(&self.out);
-            out.next += 1;
-            let number = out.next;
-            out.waiting.insert(number, sender);
+            let mut pending = lock(&self.pending);
+            pending.last_number += 1;
+            let number = pending.last_number;
+            pending.waiting.insert(number, sender);
             number
         };
         let wait = until.saturating_duration_since(Instant::now());
@@ -69,32 +71,33 @@
             left_ms: millis(left),
         };
         self.wire.send(placer, &Message::Ask(question));
-        Asking {
+        PendingQuestion {
             wire: Arc::clone(&self.wire),
-            out: Arc::clone(&self.out),
+            pending: Arc::clone(&self.pending),
             placer,
             number,
             answers,
         }
     }
 
-    /// Takes in an answer. A place that nobody waits for any more is given
-    /// back.
-    pub(super) fn take(
+    /// Handles an answer. A place for a question that is no longer pending is
+    /// returned to the placer.
+    pub(super) fn handle_answer(
         &self,
         from: SocketAddr,
         number: u64,
         verdict: Verdict,
     ) {
-        let sender = lock(&self.out).waiting.get(&number).cloned();
+        let sender = lock(&self.pending).waiting.get(&number).cloned();
         let Err(verdict) = deliver(sender, verdict) else { return };
         if matches!(verdict, Verdict::Placed(_)) {
-            give_back(&self.wire, from, number);
+            return_place(&self.wire, from, number);
         }
     }
 }
 
-/// Hands an answer to who waits for it, or returns it.
+/// Delivers an answer to the task that waits for it, or returns it if there is
+/// none.
 fn deliver(
     sender: Option<mpsc::UnboundedSender<Verdict>>,
     verdict: Verdict,
@@ -103,50 +106,52 @@
     sender.send(verdict).map_err(|unsent| unsent.0)
 }
 
-/// A question that is out.
-pub(super) struct Asking {
+/// A pending question.
+pub(super) struct PendingQuestion {
     wire: Arc<Wire>,
-    out: Arc<Mutex<Out>>,
+    pending: Arc<Mutex<PendingQuestions>>,
     placer: SocketAddr,
     number: u64,
     answers: mpsc::UnboundedReceiver<Verdict>,
 }
 
-impl Asking {
+impl PendingQuestion {
     /// Waits for the next answer.
-    pub(super) async fn answer(&mut self, within: Duration) -> Answer {
-        let answer = tokio::time::timeout(within, self.answers.recv()).await;
+    pub(super) async fn answer(&mut self, timeout: Duration) -> Answer {
+        let answer = tokio::time::timeout(timeout, self.answers.recv()).await;
         match answer {
             Ok(Some(verdict)) => Answer::Verdict(verdict),
-            Ok(None) | Err(_) => Answer::Silence,
+            Ok(None) | Err(_) => Answer::Timeout,
         }
     }
 
-    /// Returns the place that the answer has brought.
+    /// Returns the lease of the place that the answer granted.
     pub(super) fn lease(self) -> Lease {
         Lease::new(Arc::clone(&self.wire), self.placer, self.number)
     }
 }
 
-impl Drop for Asking {
+impl Drop for PendingQuestion {
     fn drop(&mut self) {
-        lock(&self.out).waiting.remove(&self.number);
-        // One may have come in the moment in which it was given up.
+        lock(&self.pending).waiting.remove(&self.number);
+        // An answer may have arrived just before the question was dropped.
         while let Ok(verdict) = self.answers.try_recv() {
             if matches!(verdict, Verdict::Placed(_)) {
-                give_back(&self.wire, self.placer, self.number);
+                return_place(&self.wire, self.placer, self.number);
             }
         }
     }
 }
 
-fn give_back(wire: &Wire, placer: SocketAddr, number: u64) {
+fn return_place(wire: &Wire, placer: SocketAddr, number: u64) {
     let event = PlaceEvent::Ended { outcome: Outcome::Unknown };
     wire.send(placer, &Message::Event { number, event });
 }
 
-fn lock(out: &Mutex<Out>) -> MutexGuard<'_, Out> {
-    out.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(
+    pending: &Mutex<PendingQuestions>,
+) -> MutexGuard<'_, PendingQuestions> {
+    pending.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 pub(super) fn millis(span: Duration) -> u32 {
--- a/crates/gateway/src/placing/lease.rs
+++ b/crates/gateway/src/placing/lease.rs
@@ -1,4 +1,4 @@
-//! A place that the placer of the hall has given.
+//! A place that the placer of the hall has granted.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,7 +9,8 @@
 use super::asker::millis;
 use crate::wire::Wire;
 
-/// A place that another entry has given; dropping it gives the place back.
+/// A place that another entry has granted. Dropping the lease returns the
+/// place.
 #[derive(Debug)]
 pub(crate) struct Lease {
     wire: Arc<Wire>,
@@ -19,7 +20,7 @@
 }
 
 impl Lease {
-    /// Returns the place that a question brought.
+    /// Returns the lease of the place that the placer granted for a question.
     pub(super) const fn new(
         wire: Arc<Wire>,
         placer: SocketAddr,
@@ -28,9 +29,10 @@
         Lease { wire, placer, number, outcome: Outcome::Unknown }
     }
 
-    /// Tells the placer that the replica has begun.
-    pub(crate) fn began(&self, took: Duration) {
-        self.tell(PlaceEvent::Began { took_ms: millis(took) });
+    /// Reports to the placer that the replica has started to answer, `took`
+    /// after the place was granted.
+    pub(crate) fn report_began(&self, took: Duration) {
+        self.send_event(PlaceEvent::Began { took_ms: millis(took) });
     }
 
     /// Reports the replica's rate limit to the placer. `sent_ago` and
@@ -44,7 +46,7 @@
     ) {
         let sent_ms = millis(sent_ago);
         let received_ms = millis(received_ago);
-        self.tell(PlaceEvent::Limit { limit, sent_ms, received_ms });
+        self.send_event(PlaceEvent::Limit { limit, sent_ms, received_ms });
     }
 
     /// Reports to the placer that the replica is leaving. `received_ago` is
@@ -56,21 +58,22 @@
         born: Option<u64>,
     ) {
         let received_ms = millis(received_ago);
-        self.tell(PlaceEvent::Leaving { received_ms, born });
+        self.send_event(PlaceEvent::Leaving { received_ms, born });
     }
 
     /// Reports to the placer that the replica sent `Retry-After`.
-    pub(crate) fn report_rejected(&self, retry_after: Duration) {
+    pub(crate) fn report_retry_after(&self, retry_after: Duration) {
         let retry_after_ms = millis(retry_after);
-        self.tell(PlaceEvent::Rejected { retry_after_ms });
+        self.send_event(PlaceEvent::Rejected { retry_after_ms });
     }
 
-    /// Notes what the placer is to know of the replica at the end.
-    pub(crate) const fn note(&mut self, outcome: Outcome) {
+    /// Sets the outcome that is reported to the placer when the place is
+    /// returned.
+    pub(crate) const fn set_outcome(&mut self, outcome: Outcome) {
         self.outcome = outcome;
     }
 
-    fn tell(&self, event: PlaceEvent) {
+    fn send_event(&self, event: PlaceEvent) {
         let message = Message::Event { number: self.number, event };
         self.wire.send(self.placer, &message);
     }
@@ -78,6 +81,6 @@
 
 impl Drop for Lease {
     fn drop(&mut self) {
-        self.tell(PlaceEvent::Ended { outcome: self.outcome });
+        self.send_event(PlaceEvent::Ended { outcome: self.outcome });
     }
 }
