--- a/crates/gateway/src/cancel_watch.rs
+++ b/crates/gateway/src/cancel_guard.rs
@@ -8,33 +8,33 @@
 use crate::forward::Forwarder;
 
 /// Notes that a caller went before its answer's head was there.
-pub(crate) struct CancelWatch {
+pub(crate) struct CancelGuard {
     forwarder: Arc<Forwarder>,
     id: Arc<str>,
     started: Instant,
-    done: bool,
+    disarmed: bool,
 }
 
-impl CancelWatch {
+impl CancelGuard {
     /// Watches a request from its head on.
     pub(crate) fn new(
         forwarder: &Arc<Forwarder>,
         id: Arc<str>,
         started: Instant,
-    ) -> CancelWatch {
+    ) -> CancelGuard {
         let forwarder = Arc::clone(forwarder);
-        CancelWatch { forwarder, id, started, done: false }
+        CancelGuard { forwarder, id, started, disarmed: false }
     }
 
     /// Notes that the head of the answer is there.
-    pub(crate) const fn done(&mut self) {
-        self.done = true;
+    pub(crate) const fn disarm(&mut self) {
+        self.disarmed = true;
     }
 }
 
-impl Drop for CancelWatch {
+impl Drop for CancelGuard {
     fn drop(&mut self) {
-        if self.done {
+        if self.disarmed {
             return;
         }
         self.forwarder.metrics.cancelled.inc();
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -17,7 +17,7 @@
     /// The key that names its workspace.
     pub key: Option<Arc<str>>,
     /// How long the caller waits.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// The model that it is for.
     pub model: Option<Arc<str>>,
     /// Tokens of its prompt.
@@ -47,7 +47,7 @@
 
 /// What the head of an answer is worth.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Judgement {
+pub enum ResponseKind {
     /// The replica's answer to this request.
     Answer {
         /// The version of weights that it comes from.
@@ -59,14 +59,14 @@
     /// than it was meant for.
     Misdirected,
     /// It belongs to another request, or to none.
-    Foreign,
+    Unrelated,
 }
 
-impl Judgement {
+impl ResponseKind {
     /// Returns whether the answer comes from the replica that the request was
     /// addressed to.
     pub const fn is_from_intended_replica(self) -> bool {
-        matches!(self, Judgement::Answer { .. } | Judgement::Declined)
+        matches!(self, ResponseKind::Answer { .. } | ResponseKind::Declined)
     }
 }
 
@@ -93,22 +93,26 @@
     /// # Errors
     ///
     /// [`Code::BadHeader`] for a value outside its range.
-    fn read(
+    fn parse_request(
         &self,
         head: &http::request::Parts,
     ) -> Result<CallerRequest, Error>;
 
     /// Writes what an attempt tells the replica over the caller's headers.
-    fn write(&self, headers: &mut HeaderMap, attempt: &Attempt<'_>);
+    fn set_headers(&self, headers: &mut HeaderMap, attempt: &Attempt<'_>);
 
     /// Judges the head of an answer to the request of this id.
-    fn judge(&self, id: &str, head: &http::response::Parts) -> Judgement;
+    fn classify_response(
+        &self,
+        id: &str,
+        head: &http::response::Parts,
+    ) -> ResponseKind;
 
     /// Decodes information about the replica from the head of its answer.
     fn read_notice(&self, head: &http::response::Parts) -> ReplicaNotice;
 
     /// Writes when the caller of a refused request may come back.
-    fn come_back(&self, headers: &mut HeaderMap, span: Duration);
+    fn set_retry_after(&self, headers: &mut HeaderMap, span: Duration);
 }
 
 /// The product's own spelling.
@@ -198,7 +202,7 @@
 }
 
 impl Dialect for PlainDialect {
-    fn read(
+    fn parse_request(
         &self,
         head: &http::request::Parts,
     ) -> Result<CallerRequest, Error> {
@@ -207,18 +211,18 @@
             let value = header_text(map, name);
             (!value.is_empty()).then(|| Arc::from(value))
         };
-        let patience = number(map, &DEADLINE)?.map(Duration::from_millis);
+        let timeout = number(map, &DEADLINE)?.map(Duration::from_millis);
         Ok(CallerRequest {
             id: Arc::from(header_text(map, &ID)),
             key: optional(&KEY),
-            patience,
+            timeout,
             model: optional(&MODEL),
             after_event: number(map, &AFTER)?,
             ..CallerRequest::default()
         })
     }
 
-    fn write(&self, map: &mut HeaderMap, attempt: &Attempt<'_>) {
+    fn set_headers(&self, map: &mut HeaderMap, attempt: &Attempt<'_>) {
         map.remove(KEY);
         map.remove(WORKSPACE);
         let left = attempt.left.as_millis() as u64;
@@ -240,18 +244,22 @@
         }
     }
 
-    fn judge(&self, id: &str, head: &http::response::Parts) -> Judgement {
+    fn classify_response(
+        &self,
+        id: &str,
+        head: &http::response::Parts,
+    ) -> ResponseKind {
         if header_text(&head.headers, &ID) != id {
-            return Judgement::Foreign;
+            return ResponseKind::Unrelated;
         }
         if head.status == StatusCode::MISDIRECTED_REQUEST {
-            return Judgement::Misdirected;
+            return ResponseKind::Misdirected;
         }
         if header_text(&head.headers, &RAN) == "did not run" {
-            return Judgement::Declined;
+            return ResponseKind::Declined;
         }
         let version = header_text(&head.headers, &VERSION).parse().ok();
-        Judgement::Answer { version }
+        ResponseKind::Answer { version }
     }
 
     fn read_notice(&self, head: &http::response::Parts) -> ReplicaNotice {
@@ -262,7 +270,7 @@
         }
     }
 
-    fn come_back(&self, headers: &mut HeaderMap, span: Duration) {
+    fn set_retry_after(&self, headers: &mut HeaderMap, span: Duration) {
         // The header counts whole seconds; rounding up never calls a caller
         // back too early.
         let seconds = span.as_millis().div_ceil(1000).max(1) as u64;
--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -278,7 +278,7 @@
         let tells_entries =
             report.entries.is_some() || report.leading.is_some();
         if let Some(last) = &mut known.reported {
-            report.keep_from(&mut last.report);
+            report.fill_missing_from(&mut last.report);
         }
         let all = report.queued + report.running;
         let own = known.load.own();
--- a/crates/gateway/src/entry.rs
+++ b/crates/gateway/src/entry.rs
@@ -25,11 +25,11 @@
 use crate::hall_reader::HallReaders;
 use crate::metrics::{EntryMetrics, ServeMetrics};
 use crate::news::{HandOver, NewsDesk};
+use crate::peer_socket::PeerSocket;
 use crate::placing::HallPlacing;
 use crate::poison::{PoisonGossip, PoisonWatch};
 use crate::ready::Ready;
 use crate::settings::EntrySettings;
-use crate::wire::Wire;
 
 /// How often kept connections and gauges are looked after.
 const HOUSEKEEPING: Duration = Duration::from_millis(500);
@@ -171,7 +171,7 @@
     let Some(own) = settings.peers else {
         return Ok(Arc::new(HallPlacing::alone(dispatcher)));
     };
-    let wire = Arc::new(Wire::bind(own).await?);
+    let wire = Arc::new(PeerSocket::bind(own).await?);
     let gossip = Arc::new(PoisonGossip::new(
         Arc::clone(poison),
         Arc::clone(&dispatcher),
@@ -287,7 +287,7 @@
     loop {
         timer.tick().await;
         forwarder.keep_house();
-        forwarder.metrics.note_calls(&directory.counts());
+        forwarder.metrics.set_platform_calls(&directory.counts());
     }
 }
 
--- a/crates/gateway/src/pauses.rs
+++ b/crates/gateway/src/event_timing.rs
@@ -4,15 +4,15 @@
 
 /// The first event of a stream, and the longest pause after it.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Pauses {
+pub(crate) struct EventTiming {
     first: Option<Instant>,
     last: Option<Instant>,
     longest: Duration,
 }
 
-impl Pauses {
+impl EventTiming {
     /// Takes note that events are passed on now.
-    pub(crate) fn note(&mut self, now: Instant) {
+    pub(crate) fn record(&mut self, now: Instant) {
         if let Some(last) = self.last {
             self.longest = self.longest.max(now.duration_since(last));
         }
@@ -28,7 +28,7 @@
     }
 
     /// Returns the longest pause, in milliseconds.
-    pub(crate) const fn longest_ms(&self) -> u64 {
+    pub(crate) const fn longest_gap_ms(&self) -> u64 {
         self.longest.as_millis() as u64
     }
 }
--- a/crates/gateway/src/feed.rs
+++ b/crates/gateway/src/feed.rs
@@ -228,7 +228,7 @@
             if line.len() > 1 {
                 let mut report: EngineReport = serde_json::from_slice(&line)?;
                 if let Some(earlier) = &mut newest {
-                    report.keep_from(earlier);
+                    report.fill_missing_from(earlier);
                 }
                 newest = Some(report);
             } else {
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -29,10 +29,10 @@
 pub(crate) use self::attempts::FailedAttempt;
 use self::refuse::refused;
 use crate::admit::{find_route, find_workspace};
-use crate::cancel_watch::CancelWatch;
+use crate::cancel_guard::CancelGuard;
 use crate::dialect::{CallerRequest, Dialect};
 use crate::dispatch::{Dispatcher, Place};
-use crate::hop_headers::{is_framed, promises, strip};
+use crate::hop_headers::{is_framed, means_not_run, remove_hop_headers};
 use crate::metrics::EntryMetrics;
 use crate::placing::HallPlacing;
 use crate::poison::PoisonWatch;
@@ -132,8 +132,8 @@
         self.metrics.suspected.set(suspected as i64);
         self.metrics.quarantined.set(quarantined as i64);
         let (given, taken_back) = self.placing.given();
-        self.metrics.given.set(given as i64);
-        self.metrics.taken_back.set(taken_back as i64);
+        self.metrics.places_given.set(given as i64);
+        self.metrics.places_taken_back.set(taken_back as i64);
         let view = self.facts.view();
         self.metrics.replicas.set(view.replicas.len() as i64);
         self.metrics.evacuated.set(view.evacuations.all().count() as i64);
@@ -145,7 +145,7 @@
         if let Some(age) = self.facts.routes_age() {
             self.metrics.routes_age.set(age.as_secs_f64());
         }
-        self.metrics.documents.set(self.facts.documents() as i64);
+        self.metrics.documents_read.set(self.facts.documents() as i64);
         if let Some(routes) = &view.routes {
             self.metrics.revision.set(routes.revision() as i64);
         }
@@ -157,17 +157,17 @@
     ) -> Response<Body> {
         let started = Instant::now();
         let (head, body) = request.into_parts();
-        let caller = self.dialect.read(&head);
+        let caller = self.dialect.parse_request(&head);
         let id = caller
             .as_ref()
             .map_or_else(|_| Arc::from(""), |read| Arc::clone(&read.id));
-        let mut watch = CancelWatch::new(&self, Arc::clone(&id), started);
+        let mut watch = CancelGuard::new(&self, Arc::clone(&id), started);
         let answered = Arc::clone(&self).answer(head, body, caller, started);
         let mut response = match answered.await {
             Ok(response) => response,
             Err(failed) => self.refusal(&id, &failed, started),
         };
-        watch.done();
+        watch.disarm();
         if self.shutdown.stopping() {
             let close = HeaderValue::from_static("close");
             response.headers_mut().insert(CONNECTION, close);
@@ -196,7 +196,7 @@
             .service(rand::rng().random())
             .map(Arc::clone)
             .ok_or_else(|| Error::new(Code::NoBackend, "no destination"))?;
-        let patience = caller.patience.unwrap_or(DEFAULT_PATIENCE);
+        let patience = caller.timeout.unwrap_or(DEFAULT_PATIENCE);
         let deadline = started + patience.min(route.timeout());
         let most = self.settings.get().body_bytes;
         let within = deadline.saturating_duration_since(Instant::now());
@@ -243,11 +243,12 @@
             let why = "an encoding that nobody asked for";
             return Err(Missed::new(AttemptResult::NoResponse, why));
         }
-        self.metrics.answered(context.started.elapsed().as_secs_f64());
+        self.metrics
+            .observe_first_byte(context.started.elapsed().as_secs_f64());
         if context.route.streaming && status.is_success() {
             upstream.place.note(Outcome::Succeeded);
             let kept = head.headers.clone();
-            strip(&mut head.headers);
+            remove_hop_headers(&mut head.headers);
             head.headers.remove(CONTENT_LENGTH);
             let state = Relay::new(
                 Arc::clone(self),
@@ -280,11 +281,11 @@
         }
         let why = format!("the replica answered {status}");
         let missed = Missed::new(AttemptResult::NoResponse, why);
-        if promises(status.as_u16()) {
+        if means_not_run(status.as_u16()) {
             // It may have run, and this status would say that it did not.
             return Err(missed);
         }
-        strip(&mut head.headers);
+        remove_hop_headers(&mut head.headers);
         head.headers.remove(CONTENT_LENGTH);
         let response = Response::from_parts(head, full(bytes));
         if retried {
--- a/crates/gateway/src/forward/attempts.rs
+++ b/crates/gateway/src/forward/attempts.rs
@@ -136,7 +136,7 @@
             context.deadline.min(from + context.route.objective() / WAIT_PART);
         let left = context.left();
         let found = self.placing.place(need.clone(), until, left).await;
-        self.metrics.waited(from.elapsed().as_secs_f64());
+        self.metrics.observe_wait(from.elapsed().as_secs_f64());
         let lack = match found {
             Ok(place) => return Ok(place),
             Err(lack) => lack,
--- a/crates/gateway/src/forward/log.rs
+++ b/crates/gateway/src/forward/log.rs
@@ -8,7 +8,7 @@
 
 use super::{FailedAttempt, Forwarder};
 use crate::dispatch::{Place, ReplicaCount};
-use crate::pauses::Pauses;
+use crate::event_timing::EventTiming;
 use crate::request_context::RequestContext;
 
 impl Forwarder {
@@ -19,9 +19,9 @@
         status: u16,
         code: u16,
         reason: &str,
-        pauses: Option<&Pauses>,
+        pauses: Option<&EventTiming>,
     ) {
-        self.metrics.ended(status, code);
+        self.metrics.count_answer(status, code);
         self.facts.log().write(&Decision::Ended {
             request: &context.caller.id,
             status,
@@ -29,7 +29,7 @@
             reason,
             took_ms: context.elapsed_ms(),
             first_ms: pauses.and_then(|p| p.first_ms(context.started)),
-            pause_ms: pauses.map(Pauses::longest_ms),
+            pause_ms: pauses.map(EventTiming::longest_gap_ms),
             routes_age_ms: None,
         });
     }
@@ -68,7 +68,8 @@
     ) {
         self.metrics.attempts.inc();
         let own_choice = place.chooser.own_choice();
-        self.metrics.chosen(own_choice.unwrap_or("the placer of the hall"));
+        self.metrics
+            .count_choice(own_choice.unwrap_or("the placer of the hall"));
         self.facts.log().write(&Decision::Sent {
             request: &context.caller.id,
             replica: &place.replica.incarnation,
@@ -93,7 +94,7 @@
         next: NextStep,
     ) {
         if failed.replica_ended == Some(true) {
-            self.metrics.ended_under.inc();
+            self.metrics.replica_ended_under.inc();
         }
         self.facts.log().write(&Decision::AttemptFailed {
             request: &context.caller.id,
--- a/crates/gateway/src/forward/refuse.rs
+++ b/crates/gateway/src/forward/refuse.rs
@@ -23,13 +23,13 @@
     ) -> Response<Body> {
         let mut response = failed.response();
         if let Some(span) = failed.back() {
-            self.dialect.come_back(response.headers_mut(), span);
+            self.dialect.set_retry_after(response.headers_mut(), span);
         }
         let status = response.status().as_u16();
         let code = failed.error().code();
         let age = self.facts.routes_age().filter(|_| by_routes(code));
         let code = code.number();
-        self.metrics.ended(status, code);
+        self.metrics.count_answer(status, code);
         self.facts.log().write(&Decision::Ended {
             request: id,
             status,
--- a/crates/gateway/src/forward/send.rs
+++ b/crates/gateway/src/forward/send.rs
@@ -13,9 +13,9 @@
 use stairhinge::placing::Outcome;
 
 use super::{Answered, Forwarder, Missed};
-use crate::dialect::{Attempt, Judgement};
+use crate::dialect::{Attempt, ResponseKind};
 use crate::dispatch::Place;
-use crate::hop_headers::strip;
+use crate::hop_headers::remove_hop_headers;
 use crate::pool::Connection;
 use crate::relay::Upstream;
 use crate::request_context::RequestContext;
@@ -67,30 +67,31 @@
             }
         };
         let (head, body) = response.into_parts();
-        let judgement = self.dialect.judge(&context.caller.id, &head);
+        let judgement =
+            self.dialect.classify_response(&context.caller.id, &head);
         if judgement.is_from_intended_replica() {
             place.handle_notice(&self.dialect.read_notice(&head), sent_at);
         }
         match judgement {
-            Judgement::Answer { version } => {
+            ResponseKind::Answer { version } => {
                 place.begin();
                 let upstream =
                     Upstream { body, connection, place, sent: at, version };
                 Ok(Answered { head, upstream })
             }
-            Judgement::Declined => {
+            ResponseKind::Declined => {
                 place.note(Outcome::Full);
                 self.reuse(connection, head, body).await;
                 let why = "the replica did not run it";
                 Err(Missed::new(AttemptResult::Declined, why))
             }
-            Judgement::Misdirected => {
+            ResponseKind::Misdirected => {
                 place.note(Outcome::Misdirected);
                 self.reuse(connection, head, body).await;
                 let why = "the replica is another one, or has another version";
                 Err(Missed::new(AttemptResult::Declined, why))
             }
-            Judgement::Foreign => {
+            ResponseKind::Unrelated => {
                 let why = "an answer to another request";
                 Err(Missed::new(AttemptResult::NoResponse, why))
             }
@@ -120,9 +121,9 @@
         after_event: Option<u64>,
     ) -> Request<Full<Bytes>> {
         let mut headers = context.head.headers.clone();
-        strip(&mut headers);
+        remove_hop_headers(&mut headers);
         headers.remove(CONTENT_LENGTH);
-        self.dialect.write(
+        self.dialect.set_headers(
             &mut headers,
             &Attempt {
                 incarnation: &place.replica.incarnation,
--- a/crates/gateway/src/hall_reader.rs
+++ b/crates/gateway/src/hall_reader.rs
@@ -19,7 +19,7 @@
 
 use crate::dispatch::Dispatcher;
 use crate::news::fetch_routes;
-use crate::published::{Unheard, ask_published};
+use crate::published::{FetchError, fetch_published};
 
 /// The pause before an entry with old news is asked again; the question has
 /// waited there for up to an eighth of the bound that it serves.
@@ -82,7 +82,7 @@
         entry: SocketAddr,
         question: &SharedQuestion,
     ) -> Option<ReaderAnswer> {
-        match ask_published(&self.client, entry, question).await {
+        match fetch_published(&self.client, entry, question).await {
             Ok(shared) => {
                 self.answered(entry);
                 Some(ReaderAnswer { entry, shared })
@@ -104,11 +104,11 @@
         alive.or_else(|| choice.choose(&entries, now))
     }
 
-    fn failed(&self, entry: SocketAddr, unheard: &Unheard) {
+    fn failed(&self, entry: SocketAddr, unheard: &FetchError) {
         let now = self.facts.now();
         let was_well = match unheard {
-            Unheard::Lost(_) => self.choice().record_failure(entry, now),
-            Unheard::Old(_) => self.choice().record_stale(entry, now),
+            FetchError::Failed(_) => self.choice().record_failure(entry, now),
+            FetchError::Stale(_) => self.choice().record_stale(entry, now),
         };
         if !was_well {
             return;
--- a/crates/gateway/src/hall_reader/round.rs
+++ b/crates/gateway/src/hall_reader/round.rs
@@ -15,7 +15,7 @@
 use stairhinge_shell::directory::{ReaderAnswer, SharedQuestion};
 
 use super::HallReaders;
-use crate::published::Unheard;
+use crate::published::FetchError;
 
 /// How many silent ones are waited for one after the other. The others are
 /// asked at a time: with waits of an eighth of the bound and five entries,
@@ -113,7 +113,7 @@
                 continue;
             }
             let why = format!("no answer in {} ms", silent.as_millis());
-            let lost = Unheard::Lost(Error::new(Code::PeerLost, why));
+            let lost = FetchError::Failed(Error::new(Code::PeerLost, why));
             self.failed(asked.entry, &lost);
         }
     }
--- a/crates/gateway/src/hop_headers.rs
+++ b/crates/gateway/src/hop_headers.rs
@@ -17,7 +17,7 @@
 ];
 
 /// Removes the headers that concern one connection only.
-pub(crate) fn strip(headers: &mut HeaderMap) {
+pub(crate) fn remove_hop_headers(headers: &mut HeaderMap) {
     let mut named = Vec::new();
     for value in headers.get_all(CONNECTION) {
         for name in value.to_str().unwrap_or("").split(',') {
@@ -42,6 +42,6 @@
 }
 
 /// Statuses by which a caller is told that a request did not run.
-pub(crate) const fn promises(status: u16) -> bool {
+pub(crate) const fn means_not_run(status: u16) -> bool {
     matches!(status, 408 | 421 | 429 | 503)
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -13,18 +13,19 @@
 
 mod admit;
 mod cache_site;
-mod cancel_watch;
+mod cancel_guard;
 mod connect;
 mod dialect;
 mod dispatch;
 mod entry;
+mod event_timing;
 mod feed;
 mod forward;
 mod hall_reader;
 mod hop_headers;
 mod metrics;
 mod news;
-mod pauses;
+mod peer_socket;
 mod placing;
 mod poison;
 mod pool;
@@ -34,14 +35,13 @@
 mod report;
 mod request_context;
 mod settings;
-mod wire;
 
 pub use self::dialect::{
-    Attempt, CallerRequest, Dialect, Judgement, PlainDialect, ReplicaNotice,
-    header_text, parse_flag, parse_header, parse_retry_after,
+    Attempt, CallerRequest, Dialect, PlainDialect, ReplicaNotice,
+    ResponseKind, header_text, parse_flag, parse_header, parse_retry_after,
 };
 pub use self::entry::run;
 pub use self::news::fetch_routes;
-pub use self::published::{Unheard, ask_published};
+pub use self::published::{FetchError, fetch_published};
 pub use self::report::EngineReport;
 pub use self::settings::{EntrySettings, RetryBound};
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -48,7 +48,7 @@
     pub attempts: Counter,
     pub retries: Counter,
     pub resumed: Counter,
-    pub ended_under: Counter,
+    pub replica_ended_under: Counter,
     pub cancelled: Counter,
     pub suspected: Gauge,
     pub quarantined: Gauge,
@@ -56,10 +56,10 @@
     pub waiting: Gauge,
     pub revision: Gauge,
     pub routes_age: Gauge<f64, AtomicU64>,
-    pub documents: Gauge,
+    pub documents_read: Gauge,
     pub replicas: Gauge,
-    pub given: Gauge,
-    pub taken_back: Gauge,
+    pub places_given: Gauge,
+    pub places_taken_back: Gauge,
     pub evacuated: Gauge,
     pub cold: Gauge,
     pub limited: Gauge,
@@ -81,7 +81,7 @@
             attempts: Counter::default(),
             retries: Counter::default(),
             resumed: Counter::default(),
-            ended_under: Counter::default(),
+            replica_ended_under: Counter::default(),
             cancelled: Counter::default(),
             suspected: Gauge::default(),
             quarantined: Gauge::default(),
@@ -89,10 +89,10 @@
             waiting: Gauge::default(),
             revision: Gauge::default(),
             routes_age: Gauge::default(),
-            documents: Gauge::default(),
+            documents_read: Gauge::default(),
             replicas: Gauge::default(),
-            given: Gauge::default(),
-            taken_back: Gauge::default(),
+            places_given: Gauge::default(),
+            places_taken_back: Gauge::default(),
             evacuated: Gauge::default(),
             cold: Gauge::default(),
             limited: Gauge::default(),
@@ -124,11 +124,11 @@
         r.register("retries", "Attempts after the first", retries);
         let resumed = self.resumed.clone();
         r.register("resumed", "Streams taken up elsewhere", resumed);
-        let ended_under = self.ended_under.clone();
+        let replica_ended_under = self.replica_ended_under.clone();
         r.register(
             "replica_ended_under",
             "Attempts under which the replica's process ended",
-            ended_under,
+            replica_ended_under,
         );
         let suspected = self.suspected.clone();
         r.register(
@@ -154,11 +154,11 @@
             Unit::Seconds,
             self.routes_age.clone(),
         );
-        let documents = self.documents.clone();
+        let documents_read = self.documents_read.clone();
         r.register(
             "documents_read",
             "Whole documents of routes read from the platform, since the start",
-            documents,
+            documents_read,
         );
         let replicas = self.replicas.clone();
         r.register("replicas", "Replicas listed", replicas);
@@ -188,18 +188,18 @@
             "Replicas that asked for rest",
             resting,
         );
-        let given = self.given.clone();
-        r.register("places_given", "Places that others have", given);
-        let taken_back = self.taken_back.clone();
+        let places_given = self.places_given.clone();
+        r.register("places_given", "Places that others have", places_given);
+        let places_taken_back = self.places_taken_back.clone();
         r.register(
             "places_taken_back",
             "Places of others whose end was not told, since the start",
-            taken_back,
+            places_taken_back,
         );
     }
 
     /// Notes how many calls to the platform have begun.
-    pub(crate) fn note_calls(&self, counts: &BTreeMap<CallKind, u64>) {
+    pub(crate) fn set_platform_calls(&self, counts: &BTreeMap<CallKind, u64>) {
         for ((collection, way), count) in counts {
             let labels = CallLabels { collection, way };
             self.calls.get_or_create(&labels).set(*count as i64);
@@ -207,22 +207,22 @@
     }
 
     /// Counts a final answer.
-    pub(crate) fn ended(&self, status: u16, code: u16) {
+    pub(crate) fn count_answer(&self, status: u16, code: u16) {
         self.answers.get_or_create(&EndLabels { status, code }).inc();
     }
 
     /// Counts who chose a replica: the placer, or why the entry did.
-    pub(crate) fn chosen(&self, by: &'static str) {
+    pub(crate) fn count_choice(&self, by: &'static str) {
         self.choices.get_or_create(&ChoiceLabels { by }).inc();
     }
 
     /// Notes how long a request waited for a replica, in seconds.
-    pub(crate) fn waited(&self, seconds: f64) {
+    pub(crate) fn observe_wait(&self, seconds: f64) {
         self.waited.observe(seconds);
     }
 
     /// Notes how long an answer's head took, in seconds.
-    pub(crate) fn answered(&self, seconds: f64) {
+    pub(crate) fn observe_first_byte(&self, seconds: f64) {
         self.first_byte.observe(seconds);
     }
 }
--- a/crates/gateway/src/wire.rs
+++ b/crates/gateway/src/peer_socket.rs
@@ -21,22 +21,22 @@
 
 /// The socket at which an entry asks and answers.
 #[derive(Debug)]
-pub(crate) struct Wire {
+pub(crate) struct PeerSocket {
     socket: UdpSocket,
     faulty: Mutex<HashSet<SocketAddr>>,
 }
 
-impl Wire {
+impl PeerSocket {
     /// Returns the socket at an address.
     ///
     /// # Errors
     ///
     /// [`Code::CannotBind`] if the address is taken.
-    pub(crate) async fn bind(addr: SocketAddr) -> Result<Wire, Error> {
+    pub(crate) async fn bind(addr: SocketAddr) -> Result<PeerSocket, Error> {
         let socket = UdpSocket::bind(addr).await.map_err(|e| {
             Error::new(Code::CannotBind, format_args!("{addr}, UDP: {e}"))
         })?;
-        Ok(Wire { socket, faulty: Mutex::default() })
+        Ok(PeerSocket { socket, faulty: Mutex::default() })
     }
 
     /// Sends a message. One that cannot be sent at once is lost, as it may
@@ -70,7 +70,7 @@
     }
 
     /// Returns whether this is the first bad message of a sender.
-    pub(crate) fn is_new_fault(&self, from: SocketAddr) -> bool {
+    pub(crate) fn is_first_fault(&self, from: SocketAddr) -> bool {
         let mut faulty =
             self.faulty.lock().unwrap_or_else(PoisonError::into_inner);
         faulty.len() < MOST_FAULTY && faulty.insert(from)
--- a/crates/gateway/src/placing.rs
+++ b/crates/gateway/src/placing.rs
@@ -26,8 +26,8 @@
 pub(crate) use self::lease::Lease;
 use self::placer::Given;
 use crate::dispatch::{Dispatcher, Place};
+use crate::peer_socket::PeerSocket;
 use crate::poison::PoisonGossip;
-use crate::wire::Wire;
 
 /// How often places are looked after, and whether this entry knows enough to
 /// place for others.
@@ -50,7 +50,7 @@
 /// What placing by the hall needs.
 struct Peers {
     own: SocketAddr,
-    wire: Arc<Wire>,
+    wire: Arc<PeerSocket>,
     /// Whether places are asked for and given.
     places: bool,
     gossip: Arc<PoisonGossip>,
@@ -72,7 +72,7 @@
     pub(crate) fn new(
         dispatcher: Arc<Dispatcher>,
         own: SocketAddr,
-        wire: Arc<Wire>,
+        wire: Arc<PeerSocket>,
         places: bool,
         gossip: Arc<PoisonGossip>,
     ) -> HallPlacing {
@@ -250,7 +250,7 @@
                 peers.given.take(from, number, event);
             }
             Ok(Message::Poison(news)) => peers.gossip.take(from, news),
-            Err(error) if peers.wire.is_new_fault(from) => {
+            Err(error) if peers.wire.is_first_fault(from) => {
                 self.dispatcher.facts().log().write(&Decision::SourceFailed {
                     source: &format!("entry {from}"),
                     code: error.code().number(),
--- a/crates/gateway/src/placing/asker.rs
+++ b/crates/gateway/src/placing/asker.rs
@@ -12,11 +12,11 @@
 use tokio::sync::mpsc;
 
 use super::lease::Lease;
-use crate::wire::Wire;
+use crate::peer_socket::PeerSocket;
 
 /// Asks placers.
 pub(super) struct Asker {
-    wire: Arc<Wire>,
+    wire: Arc<PeerSocket>,
     out: Arc<Mutex<Out>>,
 }
 
@@ -39,7 +39,7 @@
 
 impl Asker {
     /// Returns an asker without questions.
-    pub(super) fn new(wire: Arc<Wire>) -> Asker {
+    pub(super) fn new(wire: Arc<PeerSocket>) -> Asker {
         let next = u64::from(rand::rng().random::<u32>()) << 20;
         let out = Out { next, waiting: HashMap::new() };
         Asker { wire, out: Arc::new(Mutex::new(out)) }
@@ -105,7 +105,7 @@
 
 /// A question that is out.
 pub(super) struct Asking {
-    wire: Arc<Wire>,
+    wire: Arc<PeerSocket>,
     out: Arc<Mutex<Out>>,
     placer: SocketAddr,
     number: u64,
@@ -140,7 +140,7 @@
     }
 }
 
-fn give_back(wire: &Wire, placer: SocketAddr, number: u64) {
+fn give_back(wire: &PeerSocket, placer: SocketAddr, number: u64) {
     let event = PlaceEvent::Ended { outcome: Outcome::Unknown };
     wire.send(placer, &Message::Event { number, event });
 }
--- a/crates/gateway/src/placing/lease.rs
+++ b/crates/gateway/src/placing/lease.rs
@@ -7,12 +7,12 @@
 use stairhinge::placing::{Message, Outcome, PlaceEvent, RateLimit};
 
 use super::asker::millis;
-use crate::wire::Wire;
+use crate::peer_socket::PeerSocket;
 
 /// A place that another entry has given; dropping it gives the place back.
 #[derive(Debug)]
 pub(crate) struct Lease {
-    wire: Arc<Wire>,
+    wire: Arc<PeerSocket>,
     placer: SocketAddr,
     number: u64,
     outcome: Outcome,
@@ -21,7 +21,7 @@
 impl Lease {
     /// Returns the place that a question brought.
     pub(super) const fn new(
-        wire: Arc<Wire>,
+        wire: Arc<PeerSocket>,
         placer: SocketAddr,
         number: u64,
     ) -> Lease {
--- a/crates/gateway/src/placing/placer.rs
+++ b/crates/gateway/src/placing/placer.rs
@@ -10,7 +10,7 @@
 };
 
 use crate::dispatch::{Dispatcher, Found, Place};
-use crate::wire::Wire;
+use crate::peer_socket::PeerSocket;
 
 /// The places that other entries have from this one.
 #[derive(Default)]
@@ -23,7 +23,7 @@
     pub(super) fn answer(
         self: &Arc<Self>,
         dispatcher: &Arc<Dispatcher>,
-        wire: &Arc<Wire>,
+        wire: &Arc<PeerSocket>,
         from: SocketAddr,
         question: Question,
         ready: bool,
--- a/crates/gateway/src/poison/gossip.rs
+++ b/crates/gateway/src/poison/gossip.rs
@@ -17,7 +17,7 @@
 
 use super::PoisonWatch;
 use crate::dispatch::Dispatcher;
-use crate::wire::Wire;
+use crate::peer_socket::PeerSocket;
 
 /// How often an entry compares its table with another one's. With seven
 /// entries each is compared four times a second, so that a lost datagram costs
@@ -47,7 +47,7 @@
 pub(crate) struct PoisonGossip {
     watch: Arc<PoisonWatch>,
     dispatcher: Arc<Dispatcher>,
-    wire: Arc<Wire>,
+    wire: Arc<PeerSocket>,
     own: SocketAddr,
     /// When each other entry was last heard or told of.
     known: Mutex<HashMap<SocketAddr, Instant>>,
@@ -58,7 +58,7 @@
     pub(crate) fn new(
         watch: Arc<PoisonWatch>,
         dispatcher: Arc<Dispatcher>,
-        wire: Arc<Wire>,
+        wire: Arc<PeerSocket>,
         own: SocketAddr,
     ) -> PoisonGossip {
         PoisonGossip { watch, dispatcher, wire, own, known: Mutex::default() }
--- a/crates/gateway/src/published.rs
+++ b/crates/gateway/src/published.rs
@@ -20,51 +20,51 @@
 
 /// Why an entry told nothing of use.
 #[derive(Debug)]
-pub enum Unheard {
+pub enum FetchError {
     /// It did not answer.
-    Lost(Error),
+    Failed(Error),
     /// It answered, and knows nothing new enough.
-    Old(Error),
+    Stale(Error),
 }
 
-impl Unheard {
+impl FetchError {
     /// Returns what came back.
     pub const fn error(&self) -> &Error {
         match self {
-            Unheard::Lost(error) | Unheard::Old(error) => error,
+            FetchError::Failed(error) | FetchError::Stale(error) => error,
         }
     }
 }
 
-impl From<Error> for Unheard {
-    fn from(error: Error) -> Unheard {
-        Unheard::Lost(error)
+impl From<Error> for FetchError {
+    fn from(error: Error) -> FetchError {
+        FetchError::Failed(error)
     }
 }
 
-fn lost(why: impl ToString) -> Unheard {
-    Unheard::Lost(Error::new(Code::PeerLost, why.to_string()))
+fn failed(why: impl ToString) -> FetchError {
+    FetchError::Failed(Error::new(Code::PeerLost, why.to_string()))
 }
 
-fn old(why: impl ToString) -> Unheard {
-    Unheard::Old(Error::new(Code::PeerLost, why.to_string()))
+fn stale(why: impl ToString) -> FetchError {
+    FetchError::Stale(Error::new(Code::PeerLost, why.to_string()))
 }
 
 /// Asks one entry, and takes nothing old from it.
 ///
 /// # Errors
 ///
-/// [`Unheard::Lost`] if it does not answer within twice the time that the
-/// question may wait there, [`Unheard::Old`] if its answer is older than the
-/// question allows or than what the asker knows.
-pub async fn ask_published(
+/// [`FetchError::Failed`] if the entry does not answer within twice
+/// `wait_ms`, [`FetchError::Stale`] if its answer is older than the question
+/// allows or than what the caller knows.
+pub async fn fetch_published(
     client: &Client,
     entry: SocketAddr,
     question: &SharedQuestion,
-) -> Result<SharedAnswer, Unheard> {
+) -> Result<SharedAnswer, FetchError> {
     let answer = call(client, entry, question).await?;
     if question.after.is_some_and(|after| after > answer.at) {
-        return Err(old(format!("it is behind, at {}", answer.at)));
+        return Err(stale(format!("it is behind, at {}", answer.at)));
     }
     // Newer routes are worth taking however old the rest is: they only
     // go forward.
@@ -72,7 +72,7 @@
         && !answer.has_newer_routes(question)
     {
         let (age, most) = (answer.age_ms, question.most_age_ms);
-        return Err(old(format!("its news are {age} ms old, over {most}")));
+        return Err(stale(format!("its news are {age} ms old, over {most}")));
     }
     Ok(answer)
 }
@@ -81,7 +81,7 @@
     client: &Client,
     entry: SocketAddr,
     question: &SharedQuestion,
-) -> Result<SharedAnswer, Unheard> {
+) -> Result<SharedAnswer, FetchError> {
     // An answer that takes twice as long as it waits at most has lost its
     // way.
     let wait = Duration::from_millis(question.wait_ms);
@@ -92,9 +92,10 @@
         .header(CONTENT_TYPE, "application/json")
         .body(full(json))
         .map_err(|e| Error::new(Code::Internal, e))?;
-    let response = client.send(entry, request, within).await.map_err(lost)?;
+    let response =
+        client.send(entry, request, within).await.map_err(failed)?;
     if !response.status().is_success() {
-        return Err(old(format!("answers {}", response.status())));
+        return Err(stale(format!("answers {}", response.status())));
     }
     let bytes = read(response.into_body(), MOST_ANSWER, within).await?;
     let answer = serde_json::from_slice(&bytes)
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -20,9 +20,9 @@
 use stairhinge_shell::http::{Body, BodyError};
 
 use crate::dispatch::Place;
+use crate::event_timing::EventTiming;
 use crate::forward::{FailedAttempt, Forwarder, Missed};
 use crate::hop_headers::is_framed;
-use crate::pauses::Pauses;
 use crate::pool::Connection;
 use crate::request_context::RequestContext;
 
@@ -58,7 +58,7 @@
     attempt: u32,
     /// What was known of the request when it was sent where it runs now.
     suspicion: Suspicion,
-    pauses: Pauses,
+    timing: EventTiming,
     ended: bool,
 }
 
@@ -121,7 +121,7 @@
             tried,
             attempt: 1,
             suspicion,
-            pauses: Pauses::default(),
+            timing: EventTiming::default(),
             ended: false,
         }
     }
@@ -130,7 +130,7 @@
     async fn next(&mut self) -> Option<Result<Bytes, BodyError>> {
         loop {
             if let Some(bytes) = self.whole_events() {
-                self.pauses.note(Instant::now());
+                self.timing.record(Instant::now());
                 return Some(Ok(bytes));
             }
             match self.read().await {
@@ -222,8 +222,8 @@
             self.forwarder.pool.put(connection, &self.headers);
             drop(place);
         }
-        let pauses = Some(&self.pauses);
-        self.forwarder.log_ended(&self.context, 200, 0, "", pauses);
+        let timing = Some(&self.timing);
+        self.forwarder.log_ended(&self.context, 200, 0, "", timing);
     }
 
     /// Takes the stream up at another replica.
@@ -349,8 +349,8 @@
         } else {
             Code::AnswerBroke
         };
-        let (code, pauses) = (code.number(), Some(&self.pauses));
-        self.forwarder.log_ended(&self.context, 200, code, reason, pauses);
+        let (code, timing) = (code.number(), Some(&self.timing));
+        self.forwarder.log_ended(&self.context, 200, code, reason, timing);
         BodyError(reason.to_string())
     }
 }
--- a/crates/gateway/src/report.rs
+++ b/crates/gateway/src/report.rs
@@ -52,7 +52,7 @@
 impl EngineReport {
     /// Returns whether the engine takes the same requests as another report
     /// says; only load and news may differ.
-    pub fn serves_as(&self, other: &EngineReport) -> bool {
+    pub fn has_same_availability(&self, other: &EngineReport) -> bool {
         self.up == other.up
             && self.loading == other.loading
             && self.model == other.model
@@ -60,7 +60,7 @@
     }
 
     /// Keeps what an earlier report told that is only told when it changes.
-    pub(crate) fn keep_from(&mut self, earlier: &mut EngineReport) {
+    pub(crate) fn fill_missing_from(&mut self, earlier: &mut EngineReport) {
         if self.entries.is_none() {
             self.entries = earlier.entries.take();
         }
--- a/crates/loader/src/feed.rs
+++ b/crates/loader/src/feed.rs
@@ -178,7 +178,8 @@
 ) -> Option<()> {
     reports.changed().await.ok()?;
     let due = told.at + gap;
-    let other = |report: &EngineReport| !report.serves_as(&told.report);
+    let other =
+        |report: &EngineReport| !report.has_same_availability(&told.report);
     // Whether and what the engine serves is told at once.
     let turned = reports.wait_for(other);
     let _ = tokio::time::timeout_at(due, turned).await;
--- a/crates/loader/src/hall_entries.rs
+++ b/crates/loader/src/hall_entries.rs
@@ -13,7 +13,7 @@
 use futures::future::BoxFuture;
 use stairhinge::{Code, Error};
 use stairhinge_chunks::log_failure;
-use stairhinge_gateway::{Unheard, ask_published, fetch_routes};
+use stairhinge_gateway::{FetchError, fetch_published, fetch_routes};
 use stairhinge_shell::directory::{
     Change, Collection, Facts, HallNews, HallReader, ReaderAnswer, Record,
     SharedQuestion, Source,
@@ -116,7 +116,7 @@
         let entry = self.next().ok_or_else(none)?;
         let asked = Instant::now();
         let patience = Duration::from_millis(question.wait_ms).max(SILENCE);
-        match ask_published(&self.client, entry, question).await {
+        match fetch_published(&self.client, entry, question).await {
             Ok(shared) => {
                 self.turn().heard();
                 *self.heard() = Some(Instant::now());
@@ -125,8 +125,8 @@
             Err(unheard) => {
                 // One with old news is passed over like a silent one.
                 let took = match &unheard {
-                    Unheard::Lost(_) => asked.elapsed(),
-                    Unheard::Old(_) => patience,
+                    FetchError::Failed(_) => asked.elapsed(),
+                    FetchError::Stale(_) => patience,
                 };
                 self.turn().failed(took, patience);
                 Err(unheard.error().clone())
