--- a/crates/gateway/src/cache_site.rs
+++ b/crates/gateway/src/cache_site.rs
@@ -1,4 +1,4 @@
-//! What an entry knows of others that hold chunks.
+//! The peers from which an entry can fetch chunks.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 
 use crate::dispatch::Dispatcher;
 
-/// The entries and agents that the feeds tell of.
+/// The entries and agents that are known from the feeds of agents.
 pub(crate) struct FeedSite {
     pub dispatcher: Arc<Dispatcher>,
     pub agent_port: u16,
--- a/crates/gateway/src/cancel_guard.rs
+++ b/crates/gateway/src/cancel_guard.rs
@@ -1,4 +1,4 @@
-//! Noticing callers that go.
+//! Detection of callers that disconnect before their answer.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -7,7 +7,8 @@
 
 use crate::forward::Forwarder;
 
-/// Notes that a caller went before its answer's head was there.
+/// Counts and logs a request as cancelled if it is dropped, as happens when
+/// the caller disconnects, before [`CancelGuard::disarm`] is called.
 pub(crate) struct CancelGuard {
     forwarder: Arc<Forwarder>,
     id: Arc<str>,
@@ -16,7 +17,7 @@
 }
 
 impl CancelGuard {
-    /// Watches a request from its head on.
+    /// Returns a guard for a request whose head arrived at `started`.
     pub(crate) fn new(
         forwarder: &Arc<Forwarder>,
         id: Arc<str>,
@@ -26,7 +27,7 @@
         CancelGuard { forwarder, id, started, disarmed: false }
     }
 
-    /// Notes that the head of the answer is there.
+    /// Disarms the guard, since the head of the answer is available.
     pub(crate) const fn disarm(&mut self) {
         self.disarmed = true;
     }
--- a/crates/gateway/src/connect.rs
+++ b/crates/gateway/src/connect.rs
@@ -8,32 +8,37 @@
 use stairhinge_shell::is_refused;
 use tokio::net::TcpStream;
 
-/// How long a connection may take to come up. Longer than a round trip to
-/// any hall, and shorter than the first repetition of a lost packet.
-const CONNECT: Duration = Duration::from_millis(400);
+/// The timeout for establishing a connection: longer than a round trip to any
+/// hall, and shorter than TCP's first retransmission of a lost packet.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long sent bytes may stay unacknowledged before the peer counts as
-/// gone.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(3);
+/// How long sent data may stay unacknowledged before the connection is
+/// closed.
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Opens a connection.
 ///
 /// # Errors
 ///
-/// If the peer refuses or does not answer in time.
+/// If the peer refuses the connection or does not accept it in time.
 pub(crate) async fn connect(
     addr: SocketAddr,
 ) -> std::io::Result<TokioIo<TcpStream>> {
-    let opened = tokio::time::timeout(CONNECT, TcpStream::connect(addr));
+    let opened =
+        tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(addr));
     let stream = opened.await.map_err(|_| {
-        std::io::Error::new(std::io::ErrorKind::TimedOut, "no connection")
+        std::io::Error::new(
+            std::io::ErrorKind::TimedOut,
+            "connection attempt timed out",
+        )
     })??;
     stream.set_nodelay(true)?;
-    SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED))?;
+    SockRef::from(&stream).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))?;
     Ok(TokioIo::new(stream))
 }
 
-/// Returns whether a replica's process has ended.
+/// Returns whether the process at `addr` has ended, which is the case if it
+/// refuses connections.
 pub(crate) async fn has_ended(addr: SocketAddr) -> bool {
-    is_refused(addr, CONNECT).await
+    is_refused(addr, CONNECT_TIMEOUT).await
 }
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -1,4 +1,4 @@
-//! How requests and answers are spelled on the wire.
+//! The encoding of requests and answers in HTTP headers.
 
 use std::str::FromStr;
 use std::sync::Arc;
@@ -9,56 +9,57 @@
 use stairhinge::placing::{RateLimit, RetryAfter};
 use stairhinge::{Code, Error};
 
-/// What the head of a caller's request says.
+/// The contents of the head of a caller's request.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct CallerRequest {
-    /// The request's id; each of a caller's own attempts has one.
+    /// The request's id. Each of a caller's own attempts has a different one.
     pub id: Arc<str>,
-    /// The key that names its workspace.
+    /// The key that identifies the caller's workspace.
     pub key: Option<Arc<str>>,
-    /// How long the caller waits.
+    /// How long the caller waits for the answer.
     pub timeout: Option<Duration>,
-    /// The model that it is for.
+    /// The requested model.
     pub model: Option<Arc<str>>,
-    /// Tokens of its prompt.
+    /// The number of tokens of the prompt.
     pub prompt_tokens: u32,
-    /// Tokens that it is guessed to generate.
+    /// The estimated number of tokens of the answer.
     pub answer_tokens: u32,
-    /// The last event that the caller has of a stream it takes up again.
+    /// The id of the last event that the caller received, if it resumes a
+    /// stream.
     pub after_event: Option<u64>,
 }
 
-/// What one attempt tells the replica beside the caller's own words.
+/// The data that an attempt adds to the caller's headers.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt<'a> {
-    /// The replica that is meant; another one has to decline.
+    /// The incarnation of the addressed replica; any other has to decline.
     pub incarnation: &'a str,
-    /// The time that is left.
+    /// The time until the request's deadline.
     pub left: Duration,
-    /// The workspace that the caller's key names.
+    /// The workspace of the caller's key.
     pub workspace: Option<&'a str>,
-    /// 0 is the most urgent.
+    /// The priority; 0 is the most urgent.
     pub priority: u8,
-    /// The only version of weights that may answer, if any will not do.
+    /// The required weight version, or `None` if any version may answer.
     pub version: Option<u64>,
-    /// The last event that the caller has.
+    /// The id of the last event that the caller received.
     pub after_event: Option<u64>,
 }
 
-/// What the head of an answer is worth.
+/// The classification of an answer by its head.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ResponseKind {
     /// The replica's answer to this request.
     Answer {
-        /// The version of weights that it comes from.
+        /// The weight version that produced it.
         version: Option<u64>,
     },
-    /// The replica says that it did not run the request.
+    /// The replica states that it did not run the request.
     Declined,
-    /// It did not run it, since it is another replica or has another version
-    /// than it was meant for.
+    /// The request did not run, since it reached another replica than the
+    /// addressed one, or one with another weight version.
     Misdirected,
-    /// It belongs to another request, or to none.
+    /// The answer belongs to another request or to none.
     Unrelated,
 }
 
@@ -86,9 +87,9 @@
     pub retry_after: Result<Option<RetryAfter>, Error>,
 }
 
-/// The spelling of requests and answers.
+/// Decodes and encodes the headers of requests and answers.
 pub trait Dialect: Send + Sync {
-    /// Reads the head of a caller's request.
+    /// Decodes the head of a caller's request.
     ///
     /// # Errors
     ///
@@ -98,10 +99,11 @@
         head: &http::request::Parts,
     ) -> Result<CallerRequest, Error>;
 
-    /// Writes what an attempt tells the replica over the caller's headers.
+    /// Sets an attempt's headers, and removes those that are meant for the
+    /// entry only.
     fn set_headers(&self, headers: &mut HeaderMap, attempt: &Attempt<'_>);
 
-    /// Judges the head of an answer to the request of this id.
+    /// Classifies an answer to the request with this id by its head.
     fn classify_response(
         &self,
         id: &str,
@@ -111,11 +113,11 @@
     /// Decodes information about the replica from the head of its answer.
     fn read_notice(&self, head: &http::response::Parts) -> ReplicaNotice;
 
-    /// Writes when the caller of a refused request may come back.
-    fn set_retry_after(&self, headers: &mut HeaderMap, span: Duration);
+    /// Sets the time after which the caller of a refused request may retry.
+    fn set_retry_after(&self, headers: &mut HeaderMap, delay: Duration);
 }
 
-/// The product's own spelling.
+/// The default dialect, with `stairhinge-*` headers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PlainDialect;
 
@@ -123,7 +125,8 @@
 const KEY: HeaderName = HeaderName::from_static("stairhinge-key");
 const DEADLINE: HeaderName = HeaderName::from_static("stairhinge-deadline-ms");
 const MODEL: HeaderName = HeaderName::from_static("stairhinge-model");
-const AFTER: HeaderName = HeaderName::from_static("stairhinge-after-event");
+const AFTER_EVENT: HeaderName =
+    HeaderName::from_static("stairhinge-after-event");
 const WORKSPACE: HeaderName = HeaderName::from_static("stairhinge-workspace");
 const INCARNATION: HeaderName =
     HeaderName::from_static("stairhinge-incarnation");
@@ -133,7 +136,7 @@
 const LEAVING: HeaderName = HeaderName::from_static("stairhinge-leaving");
 const RAN: HeaderName = HeaderName::from_static("stairhinge-ran");
 
-/// Returns a header's text, if it is there and is text.
+/// Returns a header's value, or an empty string if it is absent or not text.
 pub fn header_text<'a>(map: &'a HeaderMap, name: &HeaderName) -> &'a str {
     map.get(name).and_then(|v| v.to_str().ok()).unwrap_or("")
 }
@@ -189,7 +192,10 @@
     parse_header(&head.headers, &RETRY_AFTER)
 }
 
-fn number(map: &HeaderMap, name: &HeaderName) -> Result<Option<u64>, Error> {
+fn parse_number(
+    map: &HeaderMap,
+    name: &HeaderName,
+) -> Result<Option<u64>, Error> {
     let Some(value) = map.get(name) else { return Ok(None) };
     let text = value.to_str().unwrap_or("");
     match text.parse() {
@@ -211,13 +217,13 @@
             let value = header_text(map, name);
             (!value.is_empty()).then(|| Arc::from(value))
         };
-        let timeout = number(map, &DEADLINE)?.map(Duration::from_millis);
+        let timeout = parse_number(map, &DEADLINE)?.map(Duration::from_millis);
         Ok(CallerRequest {
             id: Arc::from(header_text(map, &ID)),
             key: optional(&KEY),
             timeout,
             model: optional(&MODEL),
-            after_event: number(map, &AFTER)?,
+            after_event: parse_number(map, &AFTER_EVENT)?,
             ..CallerRequest::default()
         })
     }
@@ -240,7 +246,7 @@
             map.insert(VERSION, HeaderValue::from(version));
         }
         if let Some(event) = attempt.after_event {
-            map.insert(AFTER, HeaderValue::from(event));
+            map.insert(AFTER_EVENT, HeaderValue::from(event));
         }
     }
 
@@ -270,10 +276,10 @@
         }
     }
 
-    fn set_retry_after(&self, headers: &mut HeaderMap, span: Duration) {
-        // The header counts whole seconds; rounding up never calls a caller
-        // back too early.
-        let seconds = span.as_millis().div_ceil(1000).max(1) as u64;
+    fn set_retry_after(&self, headers: &mut HeaderMap, delay: Duration) {
+        // The header has a resolution of seconds; rounding up avoids retries
+        // that are too early.
+        let seconds = delay.as_millis().div_ceil(1000).max(1) as u64;
         headers.insert(RETRY_AFTER, HeaderValue::from(seconds));
     }
 }
--- a/crates/gateway/src/entry.rs
+++ b/crates/gateway/src/entry.rs
@@ -1,4 +1,4 @@
-//! Running an entry.
+//! The main function of an entry.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,36 +20,38 @@
 use crate::cache_site::FeedSite;
 use crate::dialect::Dialect;
 use crate::dispatch::{DispatchBounds, Dispatcher};
-use crate::feed::{FeedListener, follow_agents};
+use crate::feed::{FeedConfig, follow_agents};
 use crate::forward::Forwarder;
 use crate::hall_reader::HallReaders;
-use crate::metrics::{EntryMetrics, ServeMetrics};
-use crate::news::{HandOver, NewsDesk};
+use crate::metrics::{EntryMetrics, MetricsHandler};
+use crate::news::{PeerHandler, RevisionGossip};
 use crate::peer_socket::PeerSocket;
 use crate::placing::HallPlacing;
 use crate::poison::{PoisonGossip, PoisonWatch};
-use crate::ready::Ready;
+use crate::ready::ReadinessHandler;
 use crate::settings::EntrySettings;
 
-/// How often kept connections and gauges are looked after.
-const HOUSEKEEPING: Duration = Duration::from_millis(500);
+/// The interval at which idle connections are closed and gauges updated.
+const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The balancer notices within this that an entry is not ready.
-const BALANCER: Duration = Duration::from_millis(3_000);
+/// The time within which load balancers detect that an entry is not ready.
+const BALANCER_DETECTION: Duration = Duration::from_millis(3_000);
 
-/// The most connections of agents and other entries: a hall of 221 agents,
-/// each with a question or two out, and the entries of the fleet.
+/// The maximum number of connections of agents and other entries: enough for
+/// a hall of 221 agents, each with one or two pending questions, and the
+/// entries of the fleet.
 const PEER_CONNECTIONS: usize = 640;
 
-/// How much of the grace is left for the process to end.
-const LAST: Duration = Duration::from_millis(400);
+/// The part of the grace period that is reserved for the exit of the process.
+const EXIT_RESERVE: Duration = Duration::from_millis(400);
 
-/// Runs an entry until it is told to stop and its requests have ended. With a
-/// watch it takes changed settings while it runs.
+/// Runs an entry until shutdown is requested and its requests have ended, or
+/// the grace period is over. If `watch` is given, changed settings are applied
+/// at runtime.
 ///
 /// # Errors
 ///
-/// [`Code::CannotBind`] if its addresses are taken.
+/// [`Code::CannotBind`] if an address is in use.
 pub async fn run(
     settings: EntrySettings,
     directory: Arc<dyn Directory>,
@@ -86,22 +88,22 @@
     let readers = settings
         .peers
         .map(|own| Arc::new(HallReaders::new(Arc::clone(&dispatcher), own)));
-    for plan in plans(&settings, &share, readers.as_ref()) {
+    for follow_plan in follow_plans(&settings, &share, readers.as_ref()) {
         tokio::spawn(follow(
             Arc::clone(&directory),
             Arc::clone(&facts),
-            plan,
+            follow_plan,
             shutdown.clone(),
         ));
     }
-    let feeds = FeedListener {
+    let feeds = FeedConfig {
         addr: settings.peers,
         agent_port: port,
         hall_placing: settings.hall_placing,
     };
     tokio::spawn(follow_agents(Arc::clone(&dispatcher), feeds));
     if let Some((addr, readers)) = settings.peers.zip(readers) {
-        let desk = NewsDesk {
+        let gossip = RevisionGossip {
             readers,
             facts: Arc::clone(&facts),
             dispatcher: Arc::clone(&dispatcher),
@@ -110,15 +112,15 @@
             addr,
             agent_port: port,
         };
-        tokio::spawn(desk.clone().tell());
-        tokio::spawn(desk.take());
+        tokio::spawn(gossip.clone().announce());
+        tokio::spawn(gossip.fetch_newer());
     }
     let live = LiveSettings::new(settings.clone());
     if let Some(watch) = watch {
         tokio::spawn(live.clone().follow(watch, log.clone()));
     }
     let poison = Arc::new(PoisonWatch::new(Arc::clone(&facts)));
-    let placing = placing(&settings, &dispatcher, &poison).await?;
+    let placing = start_placing(&settings, &dispatcher, &poison).await?;
     tokio::spawn(Arc::clone(&placing).run());
     let forwarder = Arc::new(Forwarder::new(
         live.clone(),
@@ -130,25 +132,31 @@
         shutdown.clone(),
     ));
     tokio::spawn(keep_house(Arc::clone(&forwarder), counted));
-    let desk = settings.peers.map(|addr| {
+    let peer_handler = settings.peers.map(|addr| {
         (
             addr,
-            HandOver {
+            PeerHandler {
                 share: Arc::clone(&share),
                 cache: chunk_cache(&settings, addr, &dispatcher, origin),
             },
         )
     });
-    // Held until the end: the listeners beside the callers' stop with it.
+    // Dropping the stopper stops the side listeners, so it is held until the
+    // end.
     let _side_stopper = serve_side_listeners(
-        &settings, ready, desk, &metrics, &facts, &shutdown,
+        &settings,
+        ready,
+        peer_handler,
+        &metrics,
+        &facts,
+        &shutdown,
     )
     .await?;
     let stopping = shutdown.clone();
     let ended = serve(listener, limits(&settings), shutdown, forwarder);
     tokio::select! {
         () = ended => {}
-        () = overrun(&live, stopping, &log) => {}
+        () = grace_expired(&live, stopping, &log) => {}
     }
     log.flush();
     Ok(())
@@ -160,9 +168,9 @@
         .map_err(|e| Error::new(Code::CannotBind, format_args!("{addr}: {e}")))
 }
 
-/// Returns how the entry's requests get their places, and has it talk with
-/// other entries.
-async fn placing(
+/// Returns the placing of the entry's requests, and starts its communication
+/// with other entries.
+async fn start_placing(
     settings: &EntrySettings,
     dispatcher: &Arc<Dispatcher>,
     poison: &Arc<PoisonWatch>,
@@ -186,7 +194,7 @@
 
 fn limits(settings: &EntrySettings) -> Limits {
     let idle = Duration::from_millis(settings.idle_ms);
-    let linger = BALANCER.min(settings.grace() / 2);
+    let linger = BALANCER_DETECTION.min(settings.grace() / 2);
     Limits {
         head: settings.head_bytes,
         body: settings.body_bytes,
@@ -197,8 +205,8 @@
     }
 }
 
-/// Returns how an entry follows each collection.
-fn plans(
+/// Returns the parameters by which the entry follows each collection.
+fn follow_plans(
     settings: &EntrySettings,
     share: &Arc<Share>,
     readers: Option<&Arc<HallReaders>>,
@@ -207,8 +215,8 @@
         collection,
         wait: Duration::from_millis(4_000),
         pace,
-        doubt: settings.doubt(),
-        burst_pace: settings.burst_pace(),
+        doubt: settings.unlisted_grace(),
+        burst_pace: settings.burst_read_interval(),
         settling: Duration::from_millis(settings.contact_ms),
         first_start: settings.first_start,
         sharing: readers.map(|readers| Sharing {
@@ -227,7 +235,8 @@
     ]
 }
 
-/// Returns the cache for the agents of the hall; others ask it at `addr`.
+/// Returns the chunk cache for the agents of the hall, which is served at
+/// `addr`.
 fn chunk_cache(
     settings: &EntrySettings,
     addr: SocketAddr,
@@ -252,29 +261,30 @@
 async fn serve_side_listeners(
     settings: &EntrySettings,
     ready: TcpListener,
-    desk: Option<(SocketAddr, HandOver)>,
+    peer_handler: Option<(SocketAddr, PeerHandler)>,
     metrics: &Arc<EntryMetrics>,
     facts: &Arc<Facts>,
     shutdown: &Shutdown,
 ) -> Result<Stopper, Error> {
-    // They answer until the process ends: the stop is told by the answer.
+    // These listeners serve until the process ends, since the readiness
+    // endpoint reports the shutdown.
     let (stopper, end) = Shutdown::new();
     let mut limits = limits(settings);
     limits.connections = 64;
-    let handler = Arc::new(Ready {
+    let handler = Arc::new(ReadinessHandler {
         facts: Arc::clone(facts),
         shutdown: shutdown.clone(),
     });
     tokio::spawn(serve(ready, limits, end.clone(), handler));
     if let Some(addr) = settings.metrics {
         let listener = bind(addr).await?;
-        let handler = Arc::new(ServeMetrics(Arc::clone(metrics)));
+        let handler = Arc::new(MetricsHandler(Arc::clone(metrics)));
         tokio::spawn(serve(listener, limits, end.clone(), handler));
     }
-    if let Some((addr, desk)) = desk {
+    if let Some((addr, peer_handler)) = peer_handler {
         let listener = bind(addr).await?;
         limits.connections = PEER_CONNECTIONS;
-        tokio::spawn(serve(listener, limits, end, Arc::new(desk)));
+        tokio::spawn(serve(listener, limits, end, Arc::new(peer_handler)));
     }
     Ok(stopper)
 }
@@ -283,7 +293,7 @@
     forwarder: Arc<Forwarder>,
     directory: Arc<CountedDirectory>,
 ) {
-    let mut timer = tokio::time::interval(HOUSEKEEPING);
+    let mut timer = tokio::time::interval(HOUSEKEEPING_INTERVAL);
     loop {
         timer.tick().await;
         forwarder.keep_house();
@@ -291,8 +301,8 @@
     }
 }
 
-/// Ends once a planned stop has used up its grace.
-async fn overrun(
+/// Returns once the grace period of a graceful shutdown is nearly over.
+async fn grace_expired(
     settings: &LiveSettings<EntrySettings>,
     shutdown: Shutdown,
     log: &DecisionLog,
@@ -300,6 +310,6 @@
     shutdown.wait().await;
     let grace = settings.get().grace();
     log.write(&Decision::Stop { grace_ms: grace.as_millis() as u64 });
-    let left = grace.saturating_sub(LAST);
+    let left = grace.saturating_sub(EXIT_RESERVE);
     tokio::time::sleep(left).await;
 }
--- a/crates/gateway/src/event_timing.rs
+++ b/crates/gateway/src/event_timing.rs
@@ -1,34 +1,35 @@
-//! When the events of a stream were passed on.
+//! Timing of the events of a relayed stream.
 
 use std::time::{Duration, Instant};
 
-/// The first event of a stream, and the longest pause after it.
+/// The time of the first event of a stream, and the longest gap between
+/// events.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct EventTiming {
     first: Option<Instant>,
     last: Option<Instant>,
-    longest: Duration,
+    longest_gap: Duration,
 }
 
 impl EventTiming {
-    /// Takes note that events are passed on now.
+    /// Records that events are sent to the caller at `now`.
     pub(crate) fn record(&mut self, now: Instant) {
         if let Some(last) = self.last {
-            self.longest = self.longest.max(now.duration_since(last));
+            self.longest_gap = self.longest_gap.max(now.duration_since(last));
         }
         self.first.get_or_insert(now);
         self.last = Some(now);
     }
 
-    /// Returns how long after `since` the first event was passed on, in
-    /// milliseconds.
+    /// Returns the time from `since` to the first event, in milliseconds, or
+    /// `None` if there was no event.
     pub(crate) fn first_ms(&self, since: Instant) -> Option<u64> {
         let first = self.first?;
         Some(first.duration_since(since).as_millis() as u64)
     }
 
-    /// Returns the longest pause, in milliseconds.
+    /// Returns the longest gap between two events, in milliseconds.
     pub(crate) const fn longest_gap_ms(&self) -> u64 {
-        self.longest.as_millis() as u64
+        self.longest_gap.as_millis() as u64
     }
 }
--- a/crates/gateway/src/feed.rs
+++ b/crates/gateway/src/feed.rs
@@ -1,9 +1,9 @@
-//! Reading the feeds of agents.
+//! A reader of the feeds of agents.
 //!
-//! The agent beside each engine asks it often, which costs nothing there,
-//! and tells every entry that listens. An entry keeps one connection to each
-//! agent of its hall, on which lines come as things change; those that lead
-//! the hall also listen to the agents elsewhere.
+//! Each agent polls the engine of its instance frequently, which is cheap
+//! locally, and streams the changes to the entries that are connected. An
+//! entry keeps one connection to each agent of its hall; the first-ranked
+//! entries of a hall also connect to the agents of other halls.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -26,91 +26,96 @@
 use crate::dispatch::Dispatcher;
 use crate::report::EngineReport;
 
-/// A feed that says nothing for so long has lost its agent.
-const SILENCE: Duration = Duration::from_millis(1_200);
+/// The time without data after which a feed counts as lost.
+const FEED_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// The pause before a feed is opened again.
-const PAUSE: Duration = Duration::from_millis(400);
+/// The delay before a feed is reopened.
+const RECONNECT_DELAY: Duration = Duration::from_millis(400);
 
-/// The longest pause while no routes tell which replicas are engines: each
-/// failure doubles it, since most replicas may have no agent.
-const LONGEST_PAUSE: Duration = Duration::from_millis(1_600);
+/// The maximum delay while it is unknown which replicas are engines, because
+/// no routes are known. Each failure then doubles the delay, since most
+/// replicas may have no agent.
+const MAX_RECONNECT_DELAY: Duration = Duration::from_millis(1_600);
 
-/// The longest line of a feed, in bytes.
-const MOST_LINE: usize = 16 << 10;
+/// The maximum length of a line of a feed.
+const MAX_LINE_BYTES: usize = 16 << 10;
 
-/// How often an entry looks whether its part in the hall has changed.
-const LOOK: Duration = Duration::from_millis(250);
+/// The interval at which an entry checks whether its role in the hall has
+/// changed.
+const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// A feed that should be open.
 #[derive(Clone)]
-struct Wanted {
+struct DesiredFeed {
     replica: Arc<Replica>,
-    /// Whether mere load is told as it changes.
-    often: bool,
+    /// Whether the agent reports every change of the load.
+    all_changes: bool,
 }
 
-/// An open feed.
-struct Open {
-    often: bool,
+/// An open feed, with the task that reads it.
+struct OpenFeed {
+    all_changes: bool,
     task: JoinHandle<()>,
 }
 
-/// An entry as a listener.
+/// How an entry reads feeds.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct FeedListener {
-    /// Where others of the hall can ask it.
+pub(crate) struct FeedConfig {
+    /// The address at which other processes of the hall reach the entry.
     pub addr: Option<SocketAddr>,
     /// The port of agents.
     pub agent_port: u16,
-    /// Whether one entry places for the hall; else each hears all.
+    /// Whether one entry chooses replicas for the whole hall; otherwise every
+    /// entry receives all changes of the load.
     pub hall_placing: bool,
 }
 
-/// Keeps a feed open to the agents that an entry should listen to.
+/// Keeps the feeds open that the entry should read.
 pub(crate) async fn follow_agents(
     dispatcher: Arc<Dispatcher>,
-    listener: FeedListener,
+    config: FeedConfig,
 ) {
     let mut changes = dispatcher.facts().changes();
-    let mut open: HashMap<Arc<str>, Open> = HashMap::new();
+    let mut open: HashMap<Arc<str>, OpenFeed> = HashMap::new();
     loop {
-        let wanted = wanted(&dispatcher, listener);
+        let desired = desired_feeds(&dispatcher, config);
         open.retain(|incarnation, feed| {
-            let stays =
-                wanted.get(incarnation).is_some_and(|w| w.often == feed.often);
-            if !stays {
+            let is_desired = desired
+                .get(incarnation)
+                .is_some_and(|d| d.all_changes == feed.all_changes);
+            if !is_desired {
                 feed.task.abort();
             }
-            stays
+            is_desired
         });
-        for (incarnation, feed) in wanted {
+        for (incarnation, feed) in desired {
             open.entry(incarnation).or_insert_with(|| {
                 let dispatcher = Arc::clone(&dispatcher);
-                let often = feed.often;
+                let all_changes = feed.all_changes;
                 let task =
-                    tokio::spawn(follow_one(feed, dispatcher, listener));
-                Open { often, task }
+                    tokio::spawn(follow_agent(feed, dispatcher, config));
+                OpenFeed { all_changes, task }
             });
         }
         dispatcher.pump(None);
-        // A part that has changed shows in no fact.
-        let changed = tokio::time::timeout(LOOK, changes.changed()).await;
+        // A change of the role does not change the facts.
+        let changed =
+            tokio::time::timeout(ROLE_CHECK_INTERVAL, changes.changed()).await;
         if matches!(changed, Ok(Err(_))) {
             return;
         }
     }
 }
 
-/// Returns the feeds that an entry should have open, by incarnation. Where
-/// its hall has no engine, those of all other halls.
-fn wanted(
+/// Returns the feeds that an entry should have open, by incarnation. If its
+/// hall has no engine, these are the feeds of all other halls.
+fn desired_feeds(
     dispatcher: &Dispatcher,
-    listener: FeedListener,
-) -> HashMap<Arc<str>, Wanted> {
+    config: FeedConfig,
+) -> HashMap<Arc<str>, DesiredFeed> {
     let view = dispatcher.facts().view();
-    let role = match listener.addr {
-        Some(own) if listener.hall_placing => {
+    let role = match config.addr {
+        Some(own) if config.hall_placing => {
             HallRole::of(own, &dispatcher.ranked())
         }
         _ => HallRole::Placer,
@@ -118,21 +123,21 @@
     let mut near = HashMap::new();
     let mut far = HashMap::new();
     for (replica, _) in view.replicas.values() {
-        // Without routes any replica may be an engine: its agent tells of
-        // neighbours from which the routes are to be had.
+        // Without routes any replica may be an engine, and its agent may
+        // report peers from which the routes can be fetched.
         let routes = view.routes.as_ref();
         let service = routes.map(|r| r.service(&replica.service));
-        let plain =
+        let without_engine =
             service.is_some_and(|s| s.is_none_or(|s| s.engine.is_none()));
-        if plain {
+        if without_engine {
             continue;
         }
         let is_near = &*replica.hall == dispatcher.hall();
         let feeds = if is_near { &mut near } else { &mut far };
-        let often = is_near && role == HallRole::Placer;
+        let all_changes = is_near && role == HallRole::Placer;
         let incarnation = Arc::clone(&replica.incarnation);
         let replica = Arc::clone(replica);
-        feeds.insert(incarnation, Wanted { replica, often });
+        feeds.insert(incarnation, DesiredFeed { replica, all_changes });
     }
     if near.is_empty() || role.listens_to_all_halls() {
         near.extend(far);
@@ -140,32 +145,32 @@
     near
 }
 
-async fn follow_one(
-    feed: Wanted,
+async fn follow_agent(
+    feed: DesiredFeed,
     dispatcher: Arc<Dispatcher>,
-    listener: FeedListener,
+    config: FeedConfig,
 ) {
     let ip = feed.replica.addr.ip();
-    let addr = SocketAddr::new(ip, listener.agent_port);
+    let addr = SocketAddr::new(ip, config.agent_port);
     let name = format!("agent {addr}");
-    let mut lost: Option<Instant> = None;
-    let mut pause = PAUSE;
+    let mut lost_since: Option<Instant> = None;
+    let mut delay = RECONNECT_DELAY;
     loop {
-        let mut heard = false;
+        let mut received = false;
         let mut on_first = || {
-            heard = true;
-            let Some(since) = lost.take() else { return };
+            received = true;
+            let Some(since) = lost_since.take() else { return };
             dispatcher.facts().log().write(&Decision::DependencyRegained {
                 dependency: &name,
                 lost_ms: since.elapsed().as_millis() as u64,
             });
         };
         let ended =
-            read(&feed, addr, &dispatcher, listener.addr, &mut on_first).await;
-        if lost.is_none() {
-            lost = Some(Instant::now());
+            read(&feed, addr, &dispatcher, config.addr, &mut on_first).await;
+        if lost_since.is_none() {
+            lost_since = Some(Instant::now());
             let reason = match ended {
-                Ok(()) => "the feed ended".to_string(),
+                Ok(()) => "the agent closed the feed".to_string(),
                 Err(err) => err.to_string(),
             };
             dispatcher.facts().log().write(&Decision::DependencyLost {
@@ -175,20 +180,20 @@
             });
         }
         dispatcher.unreport(&feed.replica.incarnation);
-        let guessed = dispatcher.facts().view().routes.is_none();
-        pause = if heard || !guessed {
-            PAUSE
+        let routes_unknown = dispatcher.facts().view().routes.is_none();
+        delay = if received || !routes_unknown {
+            RECONNECT_DELAY
         } else {
-            (pause * 2).min(LONGEST_PAUSE)
+            (delay * 2).min(MAX_RECONNECT_DELAY)
         };
-        tokio::time::sleep(pause).await;
+        tokio::time::sleep(delay).await;
     }
 }
 
 type ReadResult = Result<(), Box<dyn std::error::Error + Send + Sync>>;
 
 async fn read(
-    feed: &Wanted,
+    feed: &DesiredFeed,
     addr: SocketAddr,
     dispatcher: &Dispatcher,
     own: Option<SocketAddr>,
@@ -201,7 +206,7 @@
     let mut request = Request::get("/feed")
         .header(hyper::header::HOST, addr.to_string())
         .header(headers::HALL, dispatcher.hall());
-    if !feed.often {
+    if !feed.all_changes {
         request = request.header(headers::SELDOM, "1");
     }
     if let Some(peers) = own {
@@ -209,15 +214,16 @@
     }
     let request = request.body(Empty::<Bytes>::new())?;
     let response =
-        tokio::time::timeout(SILENCE, sender.send_request(request)).await??;
+        tokio::time::timeout(FEED_TIMEOUT, sender.send_request(request))
+            .await??;
     if !response.status().is_success() {
-        return Err(format!("answers {}", response.status()).into());
+        return Err(format!("agent answered {}", response.status()).into());
     }
     let incarnation = &feed.replica.incarnation;
     let mut body = response.into_body();
     let mut buffer = BytesMut::new();
     loop {
-        let frame = tokio::time::timeout(SILENCE, body.frame()).await?;
+        let frame = tokio::time::timeout(FEED_TIMEOUT, body.frame()).await?;
         let Some(frame) = frame else { return Ok(()) };
         if let Ok(data) = frame?.into_data() {
             buffer.extend_from_slice(&data);
@@ -240,8 +246,8 @@
             dispatcher.learn(&report);
             dispatcher.report(incarnation, report);
         }
-        if buffer.len() > MOST_LINE {
-            return Err("line too long".into());
+        if buffer.len() > MAX_LINE_BYTES {
+            return Err("a line exceeds the maximum length".into());
         }
     }
 }
--- a/crates/gateway/src/hop_headers.rs
+++ b/crates/gateway/src/hop_headers.rs
@@ -1,11 +1,11 @@
-//! Headers and statuses that are not passed on as they are.
+//! Headers and statuses that a proxy must not forward unchanged.
 
 use hyper::header::{
     CONNECTION, CONTENT_LENGTH, HOST, HeaderMap, HeaderName, TE, TRAILER,
     TRANSFER_ENCODING, UPGRADE,
 };
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers, besides those that `Connection` names.
 const HOP_HEADERS: [HeaderName; 7] = [
     CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -16,15 +16,15 @@
     UPGRADE,
 ];
 
-/// Removes the headers that concern one connection only.
+/// Removes hop-by-hop headers, including those that `Connection` names.
 pub(crate) fn remove_hop_headers(headers: &mut HeaderMap) {
-    let mut named = Vec::new();
+    let mut connection_options = Vec::new();
     for value in headers.get_all(CONNECTION) {
         for name in value.to_str().unwrap_or("").split(',') {
-            named.extend(name.trim().parse::<HeaderName>());
+            connection_options.extend(name.trim().parse::<HeaderName>());
         }
     }
-    for name in named {
+    for name in connection_options {
         if name != HOST {
             headers.remove(name);
         }
@@ -34,14 +34,16 @@
     }
 }
 
-/// Returns whether an answer with these headers shows where it ends. One that
-/// ends with its connection looks whole also where its sender was lost.
+/// Returns whether an answer with these headers has explicit framing. A body
+/// that is delimited by the end of its connection looks complete even if its
+/// sender failed.
 pub(crate) fn is_framed(headers: &HeaderMap) -> bool {
     headers.contains_key(CONTENT_LENGTH)
         || headers.contains_key(TRANSFER_ENCODING)
 }
 
-/// Statuses by which a caller is told that a request did not run.
+/// Returns whether callers take this status to mean that the request did not
+/// run.
 pub(crate) const fn means_not_run(status: u16) -> bool {
     matches!(status, 408 | 421 | 429 | 503)
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,15 +1,17 @@
-//! The entry of fleets whose replicas refuse a wrong incarnation and a wrong
-//! version themselves, so that it may send to them directly.
+//! A reverse proxy that sends requests directly to replicas.
 //!
-//! A caller's request is matched to a route ([`forward`]), waits its turn
-//! for a replica ([`dispatch`]), which one entry of the hall chooses for all
-//! ([`placing`]), is kept from replicas if it ends those that it runs on
-//! ([`poison`]), is sent on a kept connection ([`pool`]), and
-//! its answer is passed on ([`relay`]). What a process believes of replicas
-//! comes from the platform ([`stairhinge_shell::directory`]) and, newer, from
-//! the agents beside them ([`feed`]). One entry reads the platform for the
-//! others, which ask it ([`hall_reader`]). How a request is spelled on the
-//! wire is the business of a [`Dialect`].
+//! Sending directly requires that replicas themselves reject requests that
+//! are addressed to another incarnation or weight version.
+//!
+//! [`forward`] matches a caller's request to a route, and [`dispatch`] queues
+//! it for a replica, which one entry of the hall chooses for all of them
+//! ([`placing`]). [`poison`] quarantines requests that crash the replicas
+//! they run on. Requests are sent on pooled connections ([`pool`]), and
+//! [`relay`] streams their answers. The state of replicas comes from the
+//! platform ([`stairhinge_shell::directory`]) and, more up to date, from the
+//! agents on their instances ([`feed`]). One entry reads the platform on
+//! behalf of the others ([`hall_reader`]). A [`Dialect`] encodes requests and
+//! decodes answers.
 
 mod admit;
 mod cache_site;
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of an entry.
+//! The metrics of an entry.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,20 +16,20 @@
 use stairhinge_shell::directory::CallKind;
 use stairhinge_shell::http::{Body, Handler, full};
 
-/// How a request ended.
+/// The final status of a request, and the code of its error or 0.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
-struct EndLabels {
+struct AnswerLabels {
     status: u16,
     code: u16,
 }
 
-/// Who chose a replica.
+/// Which component chose a replica, or why the entry did so itself.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 struct ChoiceLabels {
     by: &'static str,
 }
 
-/// A kind of call to the platform.
+/// The kind of a call to the platform.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 struct CallLabels {
     collection: &'static str,
@@ -40,7 +40,7 @@
 #[derive(Debug)]
 pub(crate) struct EntryMetrics {
     registry: Registry,
-    answers: Family<EndLabels, Counter>,
+    answers: Family<AnswerLabels, Counter>,
     choices: Family<ChoiceLabels, Counter>,
     calls: Family<CallLabels, Gauge>,
     first_byte: Histogram,
@@ -68,16 +68,17 @@
 }
 
 impl EntryMetrics {
-    /// Returns metrics at zero.
+    /// Returns metrics with all values at zero.
     pub(crate) fn new() -> EntryMetrics {
-        let seconds = || Histogram::new(exponential_buckets(0.002, 2.0, 13));
+        let duration_histogram =
+            || Histogram::new(exponential_buckets(0.002, 2.0, 13));
         let mut metrics = EntryMetrics {
             registry: Registry::with_prefix("stairhinge_entry"),
             answers: Family::default(),
             choices: Family::default(),
             calls: Family::default(),
-            first_byte: seconds(),
-            waited: seconds(),
+            first_byte: duration_histogram(),
+            waited: duration_histogram(),
             attempts: Counter::default(),
             retries: Counter::default(),
             resumed: Counter::default(),
@@ -108,13 +109,13 @@
         r.register("answers", "Final answers", self.answers.clone());
         r.register_with_unit(
             "first_byte",
-            "From a request's head to the head of its answer",
+            "Time from the head of a request to the head of its answer",
             Unit::Seconds,
             self.first_byte.clone(),
         );
         r.register_with_unit(
             "waited",
-            "How long requests waited for a replica with room",
+            "Time that requests waited for a replica with capacity",
             Unit::Seconds,
             self.waited.clone(),
         );
@@ -123,82 +124,110 @@
         let retries = self.retries.clone();
         r.register("retries", "Attempts after the first", retries);
         let resumed = self.resumed.clone();
-        r.register("resumed", "Streams taken up elsewhere", resumed);
+        r.register("resumed", "Streams resumed at another replica", resumed);
         let replica_ended_under = self.replica_ended_under.clone();
         r.register(
             "replica_ended_under",
-            "Attempts under which the replica's process ended",
+            "Attempts during which the replica's process ended",
             replica_ended_under,
         );
         let suspected = self.suspected.clone();
         r.register(
             "requests_suspected",
-            "Requests remembered under which replicas ended",
+            "Requests suspected of crashing replicas",
             suspected,
         );
         let quarantined = self.quarantined.clone();
         r.register(
             "requests_quarantined",
-            "Of these, the ones kept from replicas",
+            "Suspected requests that are quarantined",
             quarantined,
         );
         let cancelled = self.cancelled.clone();
-        r.register("cancelled", "Requests whose caller went", cancelled);
-        r.register("running", "Requests at replicas", self.running.clone());
-        r.register("waiting", "Requests waiting", self.waiting.clone());
+        r.register(
+            "cancelled",
+            "Requests cancelled by their caller",
+            cancelled,
+        );
+        r.register(
+            "running",
+            "Requests in progress at replicas",
+            self.running.clone(),
+        );
+        r.register(
+            "waiting",
+            "Requests waiting for a replica",
+            self.waiting.clone(),
+        );
         let revision = self.revision.clone();
-        r.register("routes_revision", "Revision of the routes", revision);
+        r.register(
+            "routes_revision",
+            "Revision of the routes in force",
+            revision,
+        );
         r.register_with_unit(
             "routes_age",
-            "Since all published routes were known",
+            "Time since the routes were last known to be up to date",
             Unit::Seconds,
             self.routes_age.clone(),
         );
         let documents_read = self.documents_read.clone();
         r.register(
             "documents_read",
-            "Whole documents of routes read from the platform, since the start",
+            "Complete route documents read from the platform since the start",
             documents_read,
         );
         let replicas = self.replicas.clone();
-        r.register("replicas", "Replicas listed", replicas);
+        r.register("replicas", "Listed replicas", replicas);
         let choices = self.choices.clone();
-        r.register("choices", "Replicas chosen, by whom", choices);
+        r.register("choices", "Chosen replicas, by who chose them", choices);
         let calls = self.calls.clone();
-        r.register("platform_calls", "Calls since the start, by kind", calls);
+        r.register(
+            "platform_calls",
+            "Calls to the platform since the start, by kind",
+            calls,
+        );
         let evacuated = self.evacuated.clone();
-        r.register("halls_evacuated", "Halls that get nothing", evacuated);
+        r.register("halls_evacuated", "Evacuated halls", evacuated);
         let cold = self.cold.clone();
-        r.register("replicas_cold", "Replicas that bear little", cold);
+        r.register(
+            "replicas_cold",
+            "Cold replicas with a bounded request rate",
+            cold,
+        );
         let limited = self.limited.clone();
         r.register(
             "replicas_limited",
-            "Replicas that name a rate limit",
+            "Replicas that have set a rate limit",
             limited,
         );
         let leaving = self.leaving.clone();
         r.register(
             "replicas_leaving",
-            "Replicas whose answers say that they leave",
+            "Replicas that announced in an answer that they are leaving",
             leaving,
         );
         let resting = self.resting.clone();
         r.register(
             "replicas_resting",
-            "Replicas that asked for rest",
+            "Replicas whose Retry-After has not expired",
             resting,
         );
         let places_given = self.places_given.clone();
-        r.register("places_given", "Places that others have", places_given);
+        r.register(
+            "places_given",
+            "Places currently given to other entries",
+            places_given,
+        );
         let places_taken_back = self.places_taken_back.clone();
         r.register(
             "places_taken_back",
-            "Places of others whose end was not told, since the start",
+            "Places reclaimed from entries that reported no end, since start",
             places_taken_back,
         );
     }
 
-    /// Notes how many calls to the platform have begun.
+    /// Sets how many calls to the platform of each kind have begun.
     pub(crate) fn set_platform_calls(&self, counts: &BTreeMap<CallKind, u64>) {
         for ((collection, way), count) in counts {
             let labels = CallLabels { collection, way };
@@ -208,29 +237,30 @@
 
     /// Counts a final answer.
     pub(crate) fn count_answer(&self, status: u16, code: u16) {
-        self.answers.get_or_create(&EndLabels { status, code }).inc();
+        self.answers.get_or_create(&AnswerLabels { status, code }).inc();
     }
 
-    /// Counts who chose a replica: the placer, or why the entry did.
+    /// Counts the choice of a replica by the placer, or by the entry itself
+    /// for the reason in `by`.
     pub(crate) fn count_choice(&self, by: &'static str) {
         self.choices.get_or_create(&ChoiceLabels { by }).inc();
     }
 
-    /// Notes how long a request waited for a replica, in seconds.
+    /// Records how long a request waited for a replica, in seconds.
     pub(crate) fn observe_wait(&self, seconds: f64) {
         self.waited.observe(seconds);
     }
 
-    /// Notes how long an answer's head took, in seconds.
+    /// Records the time to the head of an answer, in seconds.
     pub(crate) fn observe_first_byte(&self, seconds: f64) {
         self.first_byte.observe(seconds);
     }
 }
 
-/// Serves the metrics as text.
-pub(crate) struct ServeMetrics(pub Arc<EntryMetrics>);
+/// Serves the metrics in the Prometheus text format.
+pub(crate) struct MetricsHandler(pub Arc<EntryMetrics>);
 
-impl Handler for ServeMetrics {
+impl Handler for MetricsHandler {
     fn handle(
         self: Arc<Self>,
         _request: Request<Incoming>,
--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/news.rs
@@ -1,9 +1,9 @@
-//! Telling and taking news of what is published.
+//! Propagation of published revisions between entries.
 //!
-//! An entry that the platform turns away learns of a newer revision from the
-//! feeds of agents, and asks the entry that holds it for the document. An
-//! entry that is ahead tells agents, few of them and only those that do not
-//! know yet.
+//! An entry that cannot read the platform learns of a newer revision from the
+//! feeds of agents, and fetches the document from the entry that holds it. An
+//! entry with a newer revision announces it to a few of the agents that do not
+//! know it yet.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,85 +27,89 @@
 
 use crate::dispatch::Dispatcher;
 use crate::hall_reader::HallReaders;
-use crate::published::PUBLISHED;
+use crate::published::PUBLISHED_PATH;
 
-/// How long after a change others are told: most learn it by themselves.
-const TELL_AFTER: Duration = Duration::from_millis(150);
+/// The delay between a change and its announcement; most processes read the
+/// change themselves meanwhile.
+const ANNOUNCE_DELAY: Duration = Duration::from_millis(150);
 
-/// How often an entry looks whether others are behind.
-const LOOK: Duration = Duration::from_millis(400);
+/// The interval at which an entry checks whether agents are behind.
+const CHECK_INTERVAL: Duration = Duration::from_millis(400);
 
 /// How long an entry that is behind waits for the platform before it asks a
-/// peer.
-const ASK_AFTER: Duration = Duration::from_millis(250);
+/// peer, and the interval at which it checks whether it is behind.
+const FETCH_DELAY: Duration = Duration::from_millis(250);
 
-/// How long a call to a peer may take.
-const WITHIN: Duration = Duration::from_millis(800);
+/// The timeout of a call to a peer.
+const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// The largest document, in bytes.
-const MOST_DOCUMENT: usize = 8 << 20;
+/// The maximum size of a document.
+const MAX_DOCUMENT_BYTES: usize = 8 << 20;
 
-/// The largest question of an entry, in bytes.
-const MOST_QUESTION: usize = 4_096;
+/// The maximum size of a question.
+const MAX_QUESTION_BYTES: usize = 4_096;
 
-/// The agents of the own hall that are told of routes.
-const TOLD_OF_ROUTES: usize = 2;
+/// The number of agents of the entry's own hall to which new routes are
+/// announced.
+const MAX_ANNOUNCED_AGENTS: usize = 2;
 
-/// The path at which an entry hands over its routes.
-const ROUTES: &str = "/documents/routes";
+/// The path at which an entry serves its routes.
+const ROUTES_PATH: &str = "/documents/routes";
 
-/// What telling and taking news needs.
+/// Announces newer revisions to agents, and fetches newer routes from peers.
 #[derive(Clone)]
-pub(crate) struct NewsDesk {
+pub(crate) struct RevisionGossip {
     pub facts: Arc<Facts>,
     pub dispatcher: Arc<Dispatcher>,
     pub directory: Arc<dyn Directory>,
-    /// Who reads for this entry, if anybody.
+    /// The entries that read the platform for this one.
     pub readers: Arc<HallReaders>,
     pub client: Client,
-    /// Where peers can ask this entry.
+    /// The address at which peers reach this entry.
     pub addr: SocketAddr,
     pub agent_port: u16,
 }
 
-impl NewsDesk {
-    /// Tells agents that are behind, until the process ends.
-    pub(crate) async fn tell(self) {
+impl RevisionGossip {
+    /// Announces revisions to agents that are behind, until the process ends.
+    pub(crate) async fn announce(self) {
         let mut changes = self.facts.changes();
         loop {
-            let changed = tokio::time::timeout(LOOK, changes.changed());
+            let changed =
+                tokio::time::timeout(CHECK_INTERVAL, changes.changed());
             if matches!(changed.await, Ok(Err(_))) {
                 return;
             }
-            tokio::time::sleep(TELL_AFTER).await;
+            tokio::time::sleep(ANNOUNCE_DELAY).await;
             let news = News {
                 revision: self.facts.revision(),
                 holder: Some(self.addr),
                 targets: self.facts.target_ages(),
             };
-            for addr in self.dispatcher.behind(&news, TOLD_OF_ROUTES) {
+            for addr in self.dispatcher.behind(&news, MAX_ANNOUNCED_AGENTS) {
                 let to = SocketAddr::new(addr.ip(), self.agent_port);
                 tokio::spawn(send(self.client.clone(), to, news.clone()));
             }
         }
     }
 
-    /// Asks for newer routes that agents tell of, until the process ends.
-    pub(crate) async fn take(self) {
+    /// Fetches newer routes that agents report, until the process ends.
+    pub(crate) async fn fetch_newer(self) {
         loop {
-            tokio::time::sleep(ASK_AFTER).await;
-            let Some(told) = self.dispatcher.newest_told() else { continue };
-            if told.revision <= self.facts.revision() {
+            tokio::time::sleep(FETCH_DELAY).await;
+            let Some(newest) = self.dispatcher.newest_told() else { continue };
+            if newest.revision <= self.facts.revision() {
                 continue;
             }
-            // The platform may just be about to say it itself.
-            tokio::time::sleep(ASK_AFTER).await;
-            // Of a hall, one entry draws a document over links between halls.
-            let known = told.revision <= self.facts.revision();
+            // The routes may still arrive from the platform.
+            tokio::time::sleep(FETCH_DELAY).await;
+            // Only one entry per hall fetches a document over the links
+            // between halls.
+            let known = newest.revision <= self.facts.revision();
             if known || self.readers.has_reader() {
                 continue;
             }
-            let Some(holder) = told.holder else { continue };
+            let Some(holder) = newest.holder else { continue };
             if let Err(error) = self.fetch(holder).await {
                 self.facts.log().write(&Decision::SourceFailed {
                     source: "peer entry",
@@ -118,7 +122,8 @@
 
     async fn fetch(&self, holder: SocketAddr) -> Result<(), Error> {
         let called = Instant::now();
-        let document = fetch_routes(&self.client, holder, WITHIN).await?;
+        let document =
+            fetch_routes(&self.client, holder, CALL_TIMEOUT).await?;
         let record = self.directory.parse_routes(document)?;
         let source = Source::entry("peer", holder, called.elapsed());
         self.facts.learn(record, source, None);
@@ -126,23 +131,23 @@
     }
 }
 
-/// Fetches the document of the routes that an entry has in force.
+/// Fetches the document of the routes in force at an entry.
 ///
 /// # Errors
 ///
-/// [`Code::PeerLost`] if it does not hand them over in time.
+/// [`Code::PeerLost`] if the entry does not provide it in time.
 pub async fn fetch_routes(
     client: &Client,
     holder: SocketAddr,
     within: Duration,
 ) -> Result<Bytes, Error> {
-    let got = client.get(holder, ROUTES, MOST_DOCUMENT, within);
+    let got = client.get(holder, ROUTES_PATH, MAX_DOCUMENT_BYTES, within);
     let (status, _, document) = got.await?;
     if status != StatusCode::OK.as_u16() {
-        let why = format!("{holder} answers {status}");
+        let why = format!("{holder} answered {status}");
         return Err(Error::new(Code::PeerLost, why));
     }
-    unpack(&document, MOST_DOCUMENT)
+    unpack(&document, MAX_DOCUMENT_BYTES)
 }
 
 async fn send(client: Client, to: SocketAddr, news: News) {
@@ -151,26 +156,26 @@
         .header(CONTENT_TYPE, "application/json")
         .body(full(json));
     let Ok(request) = request else { return };
-    // One that cannot be told now is told with the next look.
-    let _ = client.send(to, request, WITHIN).await;
+    // If this fails, the next check announces the news again.
+    let _ = client.send(to, request, CALL_TIMEOUT).await;
 }
 
-/// Hands on what is published, the routes in force to any peer and all to
-/// entries of the own hall; and chunks to those who ask for them.
-pub(crate) struct HandOver {
+/// Serves the routes in force to any peer, published data to entries of the
+/// same hall, and chunks.
+pub(crate) struct PeerHandler {
     pub share: Arc<Share>,
     pub cache: Arc<ChunkCache>,
 }
 
-impl Handler for HandOver {
+impl Handler for PeerHandler {
     fn handle(
         self: Arc<Self>,
         request: Request<Incoming>,
     ) -> BoxFuture<'static, Response<Body>> {
         Box::pin(async move {
             let answered = match request.uri().path() {
-                ROUTES => Ok(self.routes()),
-                PUBLISHED => self.published(request).await,
+                ROUTES_PATH => Ok(self.routes()),
+                PUBLISHED_PATH => self.published(request).await,
                 _ => self.chunks(request).await,
             };
             answered.unwrap_or_else(|e| Failed::new(e).response())
@@ -178,7 +183,7 @@
     }
 }
 
-impl HandOver {
+impl PeerHandler {
     async fn chunks(
         &self,
         request: Request<Incoming>,
@@ -202,12 +207,12 @@
         request: Request<Incoming>,
     ) -> Result<Response<Body>, Error> {
         let body = request.into_body();
-        let bytes = read(body, MOST_QUESTION, WITHIN).await?;
+        let bytes = read(body, MAX_QUESTION_BYTES, CALL_TIMEOUT).await?;
         let question: SharedQuestion = serde_json::from_slice(&bytes)
             .map_err(|e| Error::new(Code::MalformedJson, e))?;
         let answer = self.share.answer(&question).await;
-        let nothing = || Error::new(Code::PlatformLost, "nothing was read");
-        let json = serde_json::to_string(&answer.ok_or_else(nothing)?)
+        let no_data = || Error::new(Code::PlatformLost, "no data read yet");
+        let json = serde_json::to_string(&answer.ok_or_else(no_data)?)
             .map_err(|e| Error::new(Code::Internal, e))?;
         Ok(stairhinge_shell::http::answer(StatusCode::OK, json))
     }
--- a/crates/gateway/src/peer_socket.rs
+++ b/crates/gateway/src/peer_socket.rs
@@ -1,8 +1,8 @@
-//! Datagrams between entries.
+//! UDP messages between entries.
 //!
-//! A connection that has gone silent would hold a question up until a
-//! time-out; a datagram has nothing to wait for. What is lost on the way is
-//! made good by patience and expiry.
+//! On a stalled connection a question would be blocked until a timeout, while
+//! datagrams do not block. Lost datagrams are covered by the timeouts and
+//! expiries of their senders.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -12,22 +12,22 @@
 use stairhinge::{Code, Error};
 use tokio::net::UdpSocket;
 
-/// The longest datagram, in bytes: a question with a few tried replicas takes
-/// 400.
-const MOST: usize = 4_096;
+/// The maximum size of a datagram. A question that lists a few tried replicas
+/// takes 400 bytes.
+const MAX_DATAGRAM_BYTES: usize = 4_096;
 
-/// The senders of bad messages that are remembered.
-const MOST_FAULTY: usize = 64;
+/// The maximum number of senders of malformed messages that are remembered.
+const MAX_FAULTY_SENDERS: usize = 64;
 
-/// The socket at which an entry asks and answers.
+/// The UDP socket on which an entry exchanges messages with other entries.
 #[derive(Debug)]
 pub(crate) struct PeerSocket {
     socket: UdpSocket,
-    faulty: Mutex<HashSet<SocketAddr>>,
+    faulty_senders: Mutex<HashSet<SocketAddr>>,
 }
 
 impl PeerSocket {
-    /// Returns the socket at an address.
+    /// Binds a socket to an address.
     ///
     /// # Errors
     ///
@@ -36,11 +36,12 @@
         let socket = UdpSocket::bind(addr).await.map_err(|e| {
             Error::new(Code::CannotBind, format_args!("{addr}, UDP: {e}"))
         })?;
-        Ok(PeerSocket { socket, faulty: Mutex::default() })
+        Ok(PeerSocket { socket, faulty_senders: Mutex::default() })
     }
 
-    /// Sends a message. One that cannot be sent at once is lost, as it may
-    /// be on its way: no request waits for a full socket.
+    /// Sends a message, and drops it if the socket's buffer is full, so that
+    /// no request waits for the socket. Messages may be lost in transit
+    /// anyway.
     pub(crate) fn send(&self, to: SocketAddr, message: &Message) {
         let Ok(json) = serde_json::to_vec(message) else { return };
         let _ = self.socket.try_send_to(&json, to);
@@ -50,9 +51,9 @@
     pub(crate) async fn receive(
         &self,
     ) -> (SocketAddr, Result<Message, Error>) {
-        let mut buffer = [0; MOST];
+        let mut buffer = [0; MAX_DATAGRAM_BYTES];
         loop {
-            // An error here tells of an earlier datagram that did not arrive.
+            // An error reports that an earlier datagram was not delivered.
             let got = self.socket.recv_from(&mut buffer).await;
             if let Ok((length, from)) = got {
                 return (from, parse(&buffer[..length]));
@@ -60,20 +61,21 @@
         }
     }
 
-    /// Returns the next message if it is here already.
+    /// Returns the next message if one has already arrived.
     pub(crate) fn try_receive(
         &self,
     ) -> Option<(SocketAddr, Result<Message, Error>)> {
-        let mut buffer = [0; MOST];
+        let mut buffer = [0; MAX_DATAGRAM_BYTES];
         let got = self.socket.try_recv_from(&mut buffer);
         got.ok().map(|(length, from)| (from, parse(&buffer[..length])))
     }
 
-    /// Returns whether this is the first bad message of a sender.
+    /// Returns whether this is the first malformed message of a sender.
     pub(crate) fn is_first_fault(&self, from: SocketAddr) -> bool {
-        let mut faulty =
-            self.faulty.lock().unwrap_or_else(PoisonError::into_inner);
-        faulty.len() < MOST_FAULTY && faulty.insert(from)
+        let mut faulty_senders =
+            self.faulty_senders.lock().unwrap_or_else(PoisonError::into_inner);
+        faulty_senders.len() < MAX_FAULTY_SENDERS
+            && faulty_senders.insert(from)
     }
 }
 
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -1,8 +1,8 @@
-//! Kept connections to replicas.
+//! A pool of keep-alive connections to replicas.
 //!
-//! A connection carries one request at a time and goes back only after a
-//! whole answer. Dropping it ends it at once, which is also how a replica is
-//! told that a caller has gone.
+//! A connection carries one request at a time and is returned to the pool
+//! only after a complete answer. Dropping it closes it immediately, which
+//! also tells the replica that the caller has disconnected.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -19,21 +19,21 @@
 
 use crate::connect::connect;
 
-/// How long a connection is kept whose replica does not say how long it
-/// keeps it.
-const DEFAULT_KEPT: Duration = Duration::from_secs(3);
+/// How long a connection may stay idle if the replica's answer has no
+/// `Keep-Alive` timeout.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How much sooner than the replica a connection is given up.
-const MARGIN: Duration = Duration::from_millis(800);
+/// How long before the replica's `Keep-Alive` timeout a connection is closed.
+const CLOSE_MARGIN: Duration = Duration::from_millis(800);
 
-/// How long a connection may have rested before a request that must not
-/// repeat; the peer may just be closing an older one.
-const FRESH: Duration = Duration::from_millis(500);
+/// The maximum idle time of a connection for a request that must not be
+/// repeated; the peer may be closing one that has been idle for longer.
+const MAX_FRESH_IDLE: Duration = Duration::from_millis(500);
 
-/// The most idle connections to one replica.
-const MOST_IDLE: usize = 24;
+/// The maximum number of idle connections to one replica.
+const MAX_IDLE_PER_REPLICA: usize = 24;
 
-/// A connection in use.
+/// A connection to a replica, which is closed when dropped.
 #[derive(Debug)]
 pub(crate) struct Connection {
     sender: http1::SendRequest<Full<Bytes>>,
@@ -48,7 +48,7 @@
 }
 
 impl Connection {
-    /// Sends a request and waits for the head of the answer.
+    /// Sends a request and returns the answer once its head has arrived.
     pub(crate) async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -64,20 +64,21 @@
     until: Instant,
 }
 
-/// The kept connections of one entry.
+/// The idle connections of one entry, by the incarnation of the replica.
 #[derive(Debug, Default)]
 pub(crate) struct Pool {
     idle: Mutex<HashMap<Arc<str>, Vec<Idle>>>,
 }
 
 impl Pool {
-    /// Returns a kept connection to a replica, or a new one.
+    /// Returns an idle connection to a replica, or opens a new one.
     ///
-    /// `fresh` asks for one that has hardly rested.
+    /// If `fresh` is set, connections that have been idle for longer than
+    /// [`MAX_FRESH_IDLE`] are not used.
     ///
     /// # Errors
     ///
-    /// If none is kept and no new one comes up.
+    /// If there is no usable idle connection and no new one can be opened.
     pub(crate) async fn get(
         &self,
         replica: &Arc<str>,
@@ -95,7 +96,7 @@
             .await
             .map_err(std::io::Error::other)?;
         let task = tokio::spawn(async move {
-            // What ends it shows at the request that it carries.
+            // The request on the connection reports its error.
             let _ = connection.await;
         });
         Ok(Connection {
@@ -113,8 +114,8 @@
             if last.connection.sender.is_closed() || last.until <= now {
                 continue;
             }
-            if fresh && now.duration_since(last.since) > FRESH {
-                // Those before it have rested longer still.
+            if fresh && now.duration_since(last.since) > MAX_FRESH_IDLE {
+                // Those before it have been idle for even longer.
                 kept.push(last);
                 return None;
             }
@@ -123,20 +124,21 @@
         None
     }
 
-    /// Keeps a connection after a whole answer with these headers.
+    /// Returns a connection to the pool after a complete answer with these
+    /// headers.
     pub(crate) fn put(&self, connection: Connection, headers: &HeaderMap) {
-        let Some(kept) = kept_for(headers) else { return };
+        let Some(idle_time) = idle_timeout(headers) else { return };
         let now = Instant::now();
-        let until = now + kept;
+        let until = now + idle_time;
         let mut idle = self.lock();
-        let of = idle.entry(Arc::clone(&connection.replica)).or_default();
-        if of.len() >= MOST_IDLE {
-            of.remove(0);
+        let kept = idle.entry(Arc::clone(&connection.replica)).or_default();
+        if kept.len() >= MAX_IDLE_PER_REPLICA {
+            kept.remove(0);
         }
-        of.push(Idle { connection, since: now, until });
+        kept.push(Idle { connection, since: now, until });
     }
 
-    /// Ends the connections that have rested too long.
+    /// Closes the connections that have been idle for too long.
     pub(crate) fn sweep(&self) {
         let now = Instant::now();
         let mut idle = self.lock();
@@ -151,8 +153,9 @@
     }
 }
 
-/// Returns how long a connection may be kept, or `None` if not at all.
-fn kept_for(headers: &HeaderMap) -> Option<Duration> {
+/// Returns how long a connection may stay idle after an answer with these
+/// headers, or `None` if it must be closed.
+fn idle_timeout(headers: &HeaderMap) -> Option<Duration> {
     for value in headers.get_all(CONNECTION) {
         let text = value.to_str().unwrap_or("close");
         if text.to_ascii_lowercase().contains("close") {
@@ -160,7 +163,7 @@
         }
     }
     let Some(value) = headers.get("keep-alive") else {
-        return Some(DEFAULT_KEPT);
+        return Some(DEFAULT_IDLE_TIMEOUT);
     };
     let text = value.to_str().ok()?;
     for part in text.split(',') {
@@ -168,8 +171,8 @@
             continue;
         };
         let seconds: u64 = seconds.trim().parse().ok()?;
-        let kept = Duration::from_secs(seconds);
-        return kept.checked_sub(MARGIN).filter(|k| !k.is_zero());
+        let timeout = Duration::from_secs(seconds);
+        return timeout.checked_sub(CLOSE_MARGIN).filter(|t| !t.is_zero());
     }
-    Some(DEFAULT_KEPT)
+    Some(DEFAULT_IDLE_TIMEOUT)
 }
--- a/crates/gateway/src/published.rs
+++ b/crates/gateway/src/published.rs
@@ -1,4 +1,4 @@
-//! Asking an entry for what is published, as it has learned it.
+//! Requests to an entry for the published data that it has received.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,26 +9,26 @@
 use stairhinge_shell::directory::{SharedAnswer, SharedQuestion};
 use stairhinge_shell::http::{Client, full, read};
 
-/// The path at which an entry answers other processes.
-pub(crate) const PUBLISHED: &str = "/published";
+/// The path at which an entry serves published data to other processes.
+pub(crate) const PUBLISHED_PATH: &str = "/published";
 
-/// The largest answer, in bytes.
-const MOST_ANSWER: usize = 16 << 20;
+/// The maximum size of an answer.
+const MAX_ANSWER_BYTES: usize = 16 << 20;
 
-/// How long an answer may take to a question that waits for nothing.
-const AT_ONCE: Duration = Duration::from_millis(1_000);
+/// The timeout of a question with a `wait_ms` of 0.
+const IMMEDIATE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Why an entry told nothing of use.
+/// Why an entry provided no usable data.
 #[derive(Debug)]
 pub enum FetchError {
-    /// It did not answer.
+    /// There was no valid answer.
     Failed(Error),
-    /// It answered, and knows nothing new enough.
+    /// It answered, but has no data that is recent enough.
     Stale(Error),
 }
 
 impl FetchError {
-    /// Returns what came back.
+    /// Returns the underlying error.
     pub const fn error(&self) -> &Error {
         match self {
             FetchError::Failed(error) | FetchError::Stale(error) => error,
@@ -50,54 +50,53 @@
     FetchError::Stale(Error::new(Code::PeerLost, why.to_string()))
 }
 
-/// Asks one entry, and takes nothing old from it.
+/// Asks an entry for published data, and rejects stale answers.
 ///
 /// # Errors
 ///
-/// [`FetchError::Failed`] if the entry does not answer within twice
-/// `wait_ms`, [`FetchError::Stale`] if its answer is older than the question
-/// allows or than what the caller knows.
+/// [`FetchError::Failed`] if the entry does not answer within twice the
+/// question's `wait_ms`, [`FetchError::Stale`] if its answer is older than
+/// the question allows or than what the caller knows.
 pub async fn fetch_published(
     client: &Client,
     entry: SocketAddr,
     question: &SharedQuestion,
 ) -> Result<SharedAnswer, FetchError> {
-    let answer = call(client, entry, question).await?;
+    let answer = request_published(client, entry, question).await?;
     if question.after.is_some_and(|after| after > answer.at) {
-        return Err(stale(format!("it is behind, at {}", answer.at)));
+        return Err(stale(format!("entry is behind, at {}", answer.at)));
     }
-    // Newer routes are worth taking however old the rest is: they only
-    // go forward.
+    // Newer routes are useful however old the rest is, since their revision
+    // never decreases.
     if answer.age_ms > question.most_age_ms
         && !answer.has_newer_routes(question)
     {
         let (age, most) = (answer.age_ms, question.most_age_ms);
-        return Err(stale(format!("its news are {age} ms old, over {most}")));
+        return Err(stale(format!("data is {age} ms old, limit {most} ms")));
     }
     Ok(answer)
 }
 
-async fn call(
+async fn request_published(
     client: &Client,
     entry: SocketAddr,
     question: &SharedQuestion,
 ) -> Result<SharedAnswer, FetchError> {
-    // An answer that takes twice as long as it waits at most has lost its
-    // way.
+    // An answer that takes twice the maximum wait counts as lost.
     let wait = Duration::from_millis(question.wait_ms);
-    let within = if wait.is_zero() { AT_ONCE } else { wait * 2 };
+    let timeout = if wait.is_zero() { IMMEDIATE_TIMEOUT } else { wait * 2 };
     let json = serde_json::to_vec(question)
         .map_err(|e| Error::new(Code::Internal, e))?;
-    let request = Request::post(PUBLISHED)
+    let request = Request::post(PUBLISHED_PATH)
         .header(CONTENT_TYPE, "application/json")
         .body(full(json))
         .map_err(|e| Error::new(Code::Internal, e))?;
     let response =
-        client.send(entry, request, within).await.map_err(failed)?;
+        client.send(entry, request, timeout).await.map_err(failed)?;
     if !response.status().is_success() {
-        return Err(stale(format!("answers {}", response.status())));
+        return Err(stale(format!("entry answered {}", response.status())));
     }
-    let bytes = read(response.into_body(), MOST_ANSWER, within).await?;
+    let bytes = read(response.into_body(), MAX_ANSWER_BYTES, timeout).await?;
     let answer = serde_json::from_slice(&bytes)
         .map_err(|e| Error::new(Code::MalformedJson, e))?;
     Ok(answer)
--- a/crates/gateway/src/ready.rs
+++ b/crates/gateway/src/ready.rs
@@ -1,4 +1,4 @@
-//! Telling the balancer whether the entry takes requests.
+//! The readiness endpoint for load balancers.
 
 use std::sync::Arc;
 
@@ -9,20 +9,21 @@
 use stairhinge_shell::directory::Facts;
 use stairhinge_shell::http::{Body, Handler, empty};
 
-/// Answers 200 from the first known routes until the planned stop.
-pub(crate) struct Ready {
+/// Answers 200 once routes are known and until a graceful shutdown begins,
+/// and 503 otherwise.
+pub(crate) struct ReadinessHandler {
     pub facts: Arc<Facts>,
     pub shutdown: Shutdown,
 }
 
-impl Handler for Ready {
+impl Handler for ReadinessHandler {
     fn handle(
         self: Arc<Self>,
         _request: Request<Incoming>,
     ) -> BoxFuture<'static, Response<Body>> {
-        let known = self.facts.view().routes.is_some();
+        let has_routes = self.facts.view().routes.is_some();
         let mut response = Response::new(empty());
-        if !known || self.shutdown.stopping() {
+        if !has_routes || self.shutdown.stopping() {
             *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
         }
         Box::pin(async move { response })
--- a/crates/gateway/src/report.rs
+++ b/crates/gateway/src/report.rs
@@ -1,4 +1,4 @@
-//! What an agent tells of the engine beside it.
+//! The report of an agent on the engine of its instance.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,46 +12,47 @@
 pub struct EngineReport {
     /// Whether the engine answers its agent.
     pub up: bool,
-    /// Whether a load is under way: the engine takes nothing new.
+    /// Whether weights are being loaded; the engine accepts no new requests
+    /// meanwhile.
     pub loading: bool,
-    /// The model that it holds whole.
+    /// The model whose weights are completely loaded.
     #[serde(default)]
     pub model: Option<Arc<str>>,
-    /// The version of its weights.
+    /// The version of the loaded weights.
     #[serde(default)]
     pub version: Option<u64>,
-    /// Requests that it runs.
+    /// The number of requests that the engine is running.
     pub running: u32,
-    /// Requests that wait at it.
+    /// The number of requests that are queued at the engine.
     pub queued: u32,
-    /// How slow it is; 1 is usual.
+    /// How slow the engine is, relative to its usual speed; 1 is usual.
     #[serde(default)]
     pub pace: f32,
-    /// How long a probe of the instance's link took of late, in
-    /// milliseconds; 0 while chunks do not use it.
+    /// The recent duration of a probe of the instance's link, in
+    /// milliseconds; 0 while no chunks are transferred over it.
     #[serde(default)]
     pub link_ms: u32,
-    /// The newest that the agent knows to be published; told when it
-    /// changes.
+    /// The newest published revisions that the agent knows; sent when they
+    /// change.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub news: Option<News>,
-    /// The first in rank of each hall's entries that listen to the agent;
-    /// told to entries of its own hall, when it changes.
+    /// The first-ranked of each hall's entries that read the agent's feed;
+    /// sent to entries of its own hall when it changes.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub entries: Option<Vec<HallEntry>>,
-    /// The leading ones of the entries that listen, of the agent's hall; told
+    /// The first-ranked entries of the agent's hall that read its feed; sent
     /// with `entries`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub leading: Option<Vec<SocketAddr>>,
-    /// How many entries of the agent's hall listen, rounded up to a power of
-    /// two; told with `entries`.
+    /// The number of entries of the agent's hall that read its feed, rounded
+    /// up to a power of two; sent with `entries`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub listening: Option<usize>,
 }
 
 impl EngineReport {
-    /// Returns whether the engine takes the same requests as another report
-    /// says; only load and news may differ.
+    /// Returns whether the engine accepts the same requests according to both
+    /// reports; the load and other fields may differ.
     pub fn has_same_availability(&self, other: &EngineReport) -> bool {
         self.up == other.up
             && self.loading == other.loading
@@ -59,7 +60,8 @@
             && self.version == other.version
     }
 
-    /// Keeps what an earlier report told that is only told when it changes.
+    /// Fills in the fields that are sent only when they change from an earlier
+    /// report.
     pub(crate) fn fill_missing_from(&mut self, earlier: &mut EngineReport) {
         if self.entries.is_none() {
             self.entries = earlier.entries.take();
@@ -73,7 +75,7 @@
         }
     }
 
-    /// Returns all requests at the engine.
+    /// Returns the number of running and queued requests.
     pub const fn total(&self) -> u32 {
         self.running + self.queued
     }
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of an entry.
+//! The settings of an entry.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,118 +11,123 @@
 use stairhinge::placing::ColdBound;
 use stairhinge_shell::{LinkMbps, Settings, read_settings};
 
-/// The bound on retries over all entries together.
+/// The bound on the retries of all entries together.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 pub struct RetryBound {
-    /// Retries against requests.
+    /// The maximum ratio of retries to requests.
     pub ratio: f64,
-    /// The sliding window, in seconds.
+    /// The length of the sliding window, in seconds.
     pub window_s: f64,
-    /// Retries that are allowed beside the ratio.
+    /// The number of retries that are allowed in addition to the ratio.
     pub minimum: f64,
 }
 
-/// The bound on requests to a cold replica, over all entries together.
+/// The bound on the requests of all entries together to a cold replica.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 pub struct ColdLimits {
-    /// Times the requests a second that the replica bears; without a value
-    /// just as many.
+    /// The factor by which requests may exceed the rate that the replica
+    /// sustains; 1 by default.
     #[serde(default)]
     pub overage: Option<f64>,
-    /// Requests beside these.
+    /// The number of requests that are allowed in addition; 0 by default.
     #[serde(default)]
     pub slack: Option<f64>,
 }
 
 impl ColdLimits {
-    /// Returns the bound for replicas that bear so many requests a second.
+    /// Returns the bound for replicas that sustain `per_s` requests a second.
     pub fn bound(self, per_s: f64) -> Option<ColdBound> {
         let overage = self.overage.unwrap_or(1.0);
         ColdBound::new(per_s, overage, self.slack.unwrap_or(0.0))
     }
 }
 
-/// The settings of an entry that sends straight to replicas.
+/// The settings of an entry that sends requests directly to replicas.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct EntrySettings {
     /// The instance's name.
     pub instance: Arc<str>,
     /// Its data hall.
     pub hall: Arc<str>,
-    /// The region of each data hall; where a hall is in none, requests that
-    /// are bound to regions are not sent there.
+    /// The region of each data hall. Requests that are restricted to regions
+    /// are not sent to a hall without a region.
     #[serde(default)]
     pub regions: Option<HallRegions>,
-    /// Where callers connect.
+    /// The address for callers.
     pub listen: SocketAddr,
-    /// Where the balancer asks whether the entry is ready.
+    /// The address of the readiness endpoint for load balancers.
     pub ready: SocketAddr,
-    /// Where metrics are served, if anywhere.
+    /// The address at which metrics are served; `None` disables them.
     #[serde(default)]
     pub metrics: Option<SocketAddr>,
-    /// Where other entries ask this one for newer routes, if anywhere.
+    /// The address for other entries and agents of the fleet; `None` disables
+    /// the exchange with them.
     #[serde(default)]
     pub peers: Option<SocketAddr>,
-    /// Whether one entry of the hall chooses replicas for all of them.
+    /// Whether one entry of the hall chooses replicas for all of its entries.
     #[serde(default = "default_hall_placing")]
     pub hall_placing: bool,
-    /// The port of agents on the instances of replicas.
+    /// The port of the agents on the instances of replicas.
     pub agent_port: u16,
-    /// What the instance's link carries, in megabits a second.
+    /// The capacity of the instance's link, in megabits a second.
     #[serde(default = "default_link_mbps")]
     pub link_mbps: LinkMbps,
-    /// How long a planned stop may take, in seconds.
+    /// The grace period of a graceful shutdown, in seconds.
     #[serde(deserialize_with = "whole")]
     pub grace_s: u64,
-    /// How long a leaving replica may get new requests, in milliseconds.
+    /// How long a leaving replica may still receive new requests, in
+    /// milliseconds.
     #[serde(deserialize_with = "whole")]
     pub drain_ms: u64,
-    /// Within which published routes have to be in force, in milliseconds.
+    /// The time within which published routes must be in force, in
+    /// milliseconds.
     #[serde(default = "default_routes_ms", deserialize_with = "whole")]
     pub routes_ms: u64,
-    /// How often a listed replica renews its entry, in milliseconds.
+    /// The interval at which replicas renew their list entries, in
+    /// milliseconds.
     #[serde(default = "default_heartbeat_ms", deserialize_with = "whole")]
     pub heartbeat_ms: u64,
-    /// Within which a named version has to serve, in milliseconds.
+    /// The time within which a target version must be serving, in
+    /// milliseconds.
     #[serde(deserialize_with = "whole")]
     pub version_ms: u64,
-    /// How long a process may need to be up to date again after a start or
-    /// a cut, in milliseconds.
+    /// The time that a process may take to be up to date after a start or a
+    /// lost connection, in milliseconds.
     #[serde(deserialize_with = "whole")]
     pub contact_ms: u64,
-    /// Within which nothing may be sent to an evacuated hall any more, in
+    /// The time after which no requests may be sent to an evacuated hall, in
     /// milliseconds.
     #[serde(default, deserialize_with = "maybe_whole")]
     pub evacuate_ms: Option<u64>,
     /// The bound on requests to a cold replica.
     #[serde(default)]
     pub cold: ColdLimits,
-    /// Whether the whole platform starts for the first time: nobody serves
-    /// callers yet.
+    /// Whether the whole platform starts for the first time, so that no
+    /// process serves callers yet.
     #[serde(default)]
     pub first_start: bool,
     /// The bound on retries.
     pub retry: RetryBound,
-    /// The largest body of a request, in bytes.
+    /// The maximum size of a request body, in bytes.
     #[serde(default = "default_body_bytes")]
     pub body_bytes: usize,
-    /// The largest head of a request, in bytes.
+    /// The maximum size of a request head, in bytes.
     #[serde(default = "default_head_bytes")]
     pub head_bytes: usize,
-    /// How long a caller's connection may rest, in milliseconds.
+    /// The idle timeout of callers' connections, in milliseconds.
     #[serde(default = "default_idle_ms")]
     pub idle_ms: u64,
-    /// The most connections of callers.
+    /// The maximum number of connections of callers.
     #[serde(default = "default_connections")]
     pub connections: usize,
 }
 
-/// The largest span in seconds, or number of requests, of a bound.
-const MOST_BOUND: f64 = 1e6;
+/// The maximum window, in seconds, and the maximum factor or number of
+/// requests of a bound.
+const MAX_BOUND: f64 = 1e6;
 
-/// Within which an evacuated hall gets nothing more, in milliseconds, if the
-/// settings do not say.
-const EVACUATE_MS: u64 = 5_000;
+/// The default of [`EntrySettings::evacuate_ms`].
+const DEFAULT_EVACUATE_MS: u64 = 5_000;
 
 const fn default_hall_placing() -> bool {
     true
@@ -173,16 +178,16 @@
             ("cold.overage", settings.cold.overage.unwrap_or(0.0)),
             ("cold.slack", settings.cold.slack.unwrap_or(0.0)),
         ] {
-            if !(0.0..=MOST_BOUND).contains(&value) {
-                let allowed = format_args!("0 to {MOST_BOUND}");
+            if !(0.0..=MAX_BOUND).contains(&value) {
+                let allowed = format_args!("0 to {MAX_BOUND}");
                 return Err(Error::range(field, value, allowed));
             }
         }
         Ok(settings)
     }
 
-    // Addresses, limits of listeners and the times by which a process's parts
-    // were made need a new start.
+    // Addresses, listener limits and time limits that are fixed when the
+    // process starts take effect only after a restart.
     fn with_live(&self, next: &EntrySettings) -> EntrySettings {
         EntrySettings {
             grace_s: next.grace_s,
@@ -193,46 +198,48 @@
 }
 
 impl EntrySettings {
-    /// Returns the bytes a second that chunks may take of the link. Answers
-    /// of 17 requests a second take 0.8 Mbit/s of an entry's 40 or more; 22
-    /// agents of a hall wait for what three entries send.
+    /// Returns the maximum rate of chunk transfers, in bytes a second.
+    ///
+    /// Answers to 17 requests a second need 0.8 Mbit/s of an entry's 40 or
+    /// more, while the 22 agents of a hall wait for chunks from three entries.
     pub const fn chunk_rate(&self) -> u64 {
-        const PART: f64 = 0.8;
-        self.link_mbps.bytes_per_s(PART)
+        const LINK_SHARE: f64 = 0.8;
+        self.link_mbps.bytes_per_s(LINK_SHARE)
     }
 
-    /// Returns how long a planned stop may take.
+    /// Returns the grace period of a graceful shutdown.
     pub const fn grace(&self) -> Duration {
         Duration::from_secs(self.grace_s)
     }
 
-    /// Returns how long after a failure of the platform a replica that is
-    /// not listed may still be there: its next heartbeat lists it again.
-    pub const fn doubt(&self) -> Duration {
+    /// Returns how long after a platform failure a replica that is no longer
+    /// listed is retained, since its next heartbeat may list it again.
+    pub const fn unlisted_grace(&self) -> Duration {
         Duration::from_millis(self.heartbeat_ms * 2)
     }
 
-    /// Returns the least span between two readings of routes that are
-    /// published in quick succession: a part of the time that they have to
-    /// be in force.
-    pub const fn burst_pace(&self) -> Duration {
+    /// Returns the minimum interval between two reads of routes that are
+    /// published in quick succession, a fraction of the time within which
+    /// they must be in force.
+    pub const fn burst_read_interval(&self) -> Duration {
         Duration::from_millis(self.routes_ms / 4)
     }
 
-    /// Returns within which a named version has to serve.
+    /// Returns the time within which a target version must be serving.
     pub const fn version_bound(&self) -> Duration {
         Duration::from_millis(self.version_ms)
     }
 
-    /// Returns within which an evacuated hall gets nothing more.
+    /// Returns the time after which no requests may be sent to an evacuated
+    /// hall.
     pub fn evacuation_bound(&self) -> EvacuationBound {
-        let within = self.evacuate_ms.unwrap_or(EVACUATE_MS);
+        let within = self.evacuate_ms.unwrap_or(DEFAULT_EVACUATE_MS);
         EvacuationBound::new(Duration::from_millis(within))
     }
 
-    /// Returns how old a version is taken to be that was named before the
-    /// process began: old replicas are used only until it has to be up to
-    /// date.
+    /// Returns the presumed age of target versions that were set before the
+    /// process started. It limits the use of replicas with older versions to
+    /// the time until the process must be up to date.
     pub const fn presumed_age(&self) -> Duration {
         Duration::from_millis(self.version_ms.saturating_sub(self.contact_ms))
     }
