--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -1,8 +1,9 @@
-//! Passing a stream of events on, and taking it up at another replica.
+//! Relaying of event streams, and their resumption at another replica.
 //!
-//! Only whole events go to the caller. Where the replica breaks off, the
-//! stream goes on from the last of them at another replica of the same
-//! version; where that cannot be, it ends visibly cut.
+//! Only complete events are sent to the caller. If the replica fails, the
+//! stream is resumed after the last of them at another replica with the same
+//! weight version. If that is not possible, the caller's connection is
+//! aborted so that the truncation is visible.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -26,26 +27,27 @@
 use crate::pool::Connection;
 use crate::request_context::RequestContext;
 
-/// The longest silence within a stream that may be taken up elsewhere.
-const SILENCE: Duration = Duration::from_millis(1_200);
+/// The timeout for the next data of a resumable stream.
+const DATA_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// How often a silent replica is looked up among those reported down.
-const LOOK: Duration = Duration::from_millis(250);
+/// The interval at which a resumable stream without data checks whether its
+/// replica is reported down.
+const DOWN_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How long a broken stream waits for a replica with room.
-const RESUME_WAIT: Duration = Duration::from_millis(600);
+/// How long a failed stream waits for a replica with capacity.
+const MAX_RESUME_WAIT: Duration = Duration::from_millis(600);
 
-/// An answer that is being read.
+/// An answer that is being read from a replica.
 pub(crate) struct Upstream {
     pub body: Incoming,
     pub connection: Connection,
     pub place: Place,
     pub sent: Instant,
-    /// The version of weights that it comes from.
+    /// The weight version that produces the answer.
     pub version: Option<u64>,
 }
 
-/// A stream on its way to the caller.
+/// A stream of events that is relayed to the caller.
 pub(crate) struct Relay {
     forwarder: Arc<Forwarder>,
     context: Arc<RequestContext>,
@@ -56,52 +58,52 @@
     version: Option<u64>,
     tried: Vec<Arc<str>>,
     attempt: u32,
-    /// What was known of the request when it was sent where it runs now.
+    /// The suspicion against the request when its latest attempt was sent.
     suspicion: Suspicion,
     timing: EventTiming,
     ended: bool,
 }
 
-/// What reading the replica brought.
+/// The result of reading from the replica.
 enum Read {
     Bytes(Bytes),
     End,
-    Broke(Broke),
+    Failed(ReadFailure),
 }
 
-/// Why a replica's answer is not read to its end.
-struct Broke {
+/// Why a replica's answer could not be read to its end.
+struct ReadFailure {
     reason: String,
-    /// Whether the connection ended.
+    /// Whether the connection was lost, rather than the replica being silent.
     cut: bool,
 }
 
-impl Broke {
-    fn silent(reason: impl Into<String>) -> Broke {
-        Broke { reason: reason.into(), cut: false }
+impl ReadFailure {
+    fn silent(reason: impl Into<String>) -> ReadFailure {
+        ReadFailure { reason: reason.into(), cut: false }
     }
 
-    fn cut(reason: impl Into<String>) -> Broke {
-        Broke { reason: reason.into(), cut: true }
+    fn cut(reason: impl Into<String>) -> ReadFailure {
+        ReadFailure { reason: reason.into(), cut: true }
     }
 }
 
-/// Why a stream was not taken up at another replica.
-struct NotTaken {
+/// Why a stream was not resumed at another replica.
+struct ResumeFailure {
     reason: String,
-    /// The attempt there, if it failed.
+    /// The failed attempt, if one was made.
     failed: Option<FailedAttempt>,
 }
 
-impl NotTaken {
-    /// Returns a reason that speaks against no replica.
-    fn before(reason: impl ToString) -> NotTaken {
-        NotTaken { reason: reason.to_string(), failed: None }
+impl ResumeFailure {
+    /// Returns a failure for which no replica is responsible.
+    fn without_attempt(reason: impl ToString) -> ResumeFailure {
+        ResumeFailure { reason: reason.to_string(), failed: None }
     }
 }
 
 impl Relay {
-    /// Returns a relay of an answer whose head had these headers.
+    /// Returns a relay of the answer with these headers.
     pub(crate) fn new(
         forwarder: Arc<Forwarder>,
         context: Arc<RequestContext>,
@@ -126,10 +128,10 @@
         }
     }
 
-    /// Returns the next bytes for the caller, or `None` at the end.
+    /// Returns the next complete events, or `None` at the end of the stream.
     async fn next(&mut self) -> Option<Result<Bytes, BodyError>> {
         loop {
-            if let Some(bytes) = self.whole_events() {
+            if let Some(bytes) = self.next_complete_events() {
                 self.timing.record(Instant::now());
                 return Some(Ok(bytes));
             }
@@ -140,13 +142,15 @@
                     return None;
                 }
                 Read::End => {
-                    let why = Broke::cut("the answer ended within an event");
-                    if let Err(error) = self.resume(why).await {
+                    let failure = ReadFailure::cut(
+                        "the answer ended in the middle of an event",
+                    );
+                    if let Err(error) = self.resume(failure).await {
                         return Some(Err(error));
                     }
                 }
-                Read::Broke(why) => {
-                    if let Err(error) = self.resume(why).await {
+                Read::Failed(failure) => {
+                    if let Err(error) = self.resume(failure).await {
                         return Some(Err(error));
                     }
                 }
@@ -154,7 +158,7 @@
         }
     }
 
-    fn whole_events(&mut self) -> Option<Bytes> {
+    fn next_complete_events(&mut self) -> Option<Bytes> {
         let first = self.splitter.next_event()?;
         self.last_event = first.id.or(self.last_event);
         let Some(second) = self.splitter.next_event() else {
@@ -172,21 +176,24 @@
 
     async fn read(&mut self) -> Read {
         let Some(upstream) = &mut self.upstream else {
-            return Read::Broke(Broke::silent("no replica"));
+            return Read::Failed(ReadFailure::silent("no replica"));
         };
         let resumable = self.context.route.repeat == Repeat::Resume;
         let since = Instant::now();
         loop {
             let left = self.context.left();
             if left.is_zero() {
-                return Read::Broke(Broke::silent("the time is over"));
+                return Read::Failed(ReadFailure::silent(
+                    "the deadline has passed",
+                ));
             }
-            let wait = if resumable { left.min(LOOK) } else { left };
+            let wait =
+                if resumable { left.min(DOWN_CHECK_INTERVAL) } else { left };
             let frame = tokio::time::timeout(wait, upstream.body.frame());
             match frame.await {
                 Ok(None) => return Read::End,
                 Ok(Some(Err(error))) => {
-                    return Read::Broke(Broke::cut(error.to_string()));
+                    return Read::Failed(ReadFailure::cut(error.to_string()));
                 }
                 Ok(Some(Ok(frame))) => {
                     if let Ok(data) = frame.into_data() {
@@ -200,13 +207,14 @@
             }
             let replica = &upstream.place.replica.incarnation;
             if self.forwarder.dispatcher.is_down(replica) {
-                // Asking a replica that is silent would hold the stream up.
-                let why = "its agent reports it down";
-                return Read::Broke(Broke::silent(why));
+                // Waiting for the timeout would only delay the resumption.
+                let why = "the agent reports that the engine is down";
+                return Read::Failed(ReadFailure::silent(why));
             }
-            if since.elapsed() > SILENCE {
-                let why = format!("no event for {} ms", SILENCE.as_millis());
-                return Read::Broke(Broke::silent(why));
+            if since.elapsed() > DATA_TIMEOUT {
+                let why =
+                    format!("no event for {} ms", DATA_TIMEOUT.as_millis());
+                return Read::Failed(ReadFailure::silent(why));
             }
         }
     }
@@ -226,47 +234,60 @@
         self.forwarder.log_ended(&self.context, 200, 0, "", timing);
     }
 
-    /// Takes the stream up at another replica.
-    async fn resume(&mut self, broke: Broke) -> Result<(), BodyError> {
-        let mut reason = broke.reason.clone();
-        let mut failed = self.leave(broke).await;
+    /// Resumes the stream at another replica.
+    ///
+    /// # Errors
+    ///
+    /// If the stream cannot be resumed.
+    async fn resume(&mut self, failure: ReadFailure) -> Result<(), BodyError> {
+        let mut reason = failure.reason.clone();
+        let mut failed = self.release_upstream(failure).await;
         loop {
             self.splitter = EventSplitter::new();
-            let may = self.context.route.repeat == Repeat::Resume
+            let can_retry = self.context.route.repeat == Repeat::Resume
                 && !self.suspicion.is_quarantined()
                 && self.attempt < self.context.route.attempts
                 && !self.context.left().is_zero()
                 && self.forwarder.spend(&self.context.service);
-            let next = if may { NextStep::Retry } else { NextStep::Fail };
+            let next =
+                if can_retry { NextStep::Retry } else { NextStep::Fail };
             if let Some(failed) = failed.take() {
                 self.forwarder.log_failed(&self.context, &failed, next);
             }
-            if !may {
-                return Err(self.cut(&reason));
+            if !can_retry {
+                return Err(self.abort(&reason));
             }
             self.attempt += 1;
-            match self.take_up().await {
+            match self.try_resume().await {
                 Ok(()) => return Ok(()),
-                Err(not_taken) => {
-                    reason = format!("{reason}; then {}", not_taken.reason);
-                    failed = not_taken.failed;
+                Err(resume_failure) => {
+                    reason = format!(
+                        "{reason}; resuming: {}",
+                        resume_failure.reason
+                    );
+                    failed = resume_failure.failed;
                 }
             }
         }
     }
 
-    /// Leaves the replica whose answer broke off.
-    async fn leave(&mut self, broke: Broke) -> Option<FailedAttempt> {
+    /// Releases the replica whose answer failed, and describes the failed
+    /// attempt.
+    async fn release_upstream(
+        &mut self,
+        failure: ReadFailure,
+    ) -> Option<FailedAttempt> {
         let mut upstream = self.upstream.take()?;
         upstream.place.note(Outcome::Failed);
         let replica = Arc::clone(&upstream.place.replica);
         let sent = upstream.sent;
         drop(upstream);
-        let reason = broke.reason;
-        Some(self.examine(replica, sent, reason, broke.cut).await)
+        let reason = failure.reason;
+        Some(self.examine(replica, sent, reason, failure.cut).await)
     }
 
-    /// Looks at a replica that did not bring the whole answer.
+    /// Examines a replica whose answer is incomplete, and updates the
+    /// suspicion against the request.
     async fn examine(
         &mut self,
         replica: Arc<Replica>,
@@ -281,16 +302,17 @@
         FailedAttempt { replica, sent, reason, replica_ended }
     }
 
-    async fn take_up(&mut self) -> Result<(), NotTaken> {
+    async fn try_resume(&mut self) -> Result<(), ResumeFailure> {
         let poison = &self.forwarder.poison;
-        self.suspicion =
-            poison.admit(&self.context).map_err(NotTaken::before)?;
+        self.suspicion = poison
+            .admit(&self.context)
+            .map_err(ResumeFailure::without_attempt)?;
         let need = Need {
             service: Arc::clone(&self.context.service),
             model: self.context.caller.model.clone(),
             version: self.version,
             tried: self.tried.clone(),
-            // What was begun goes before what has not.
+            // Started streams take precedence over new requests.
             priority: 0,
             route_priority: 0,
             prompt_tokens: self.context.caller.prompt_tokens,
@@ -299,16 +321,16 @@
             suspicion: self.suspicion,
         };
         let left = self.context.left();
-        let until = Instant::now() + RESUME_WAIT.min(left);
+        let until = Instant::now() + MAX_RESUME_WAIT.min(left);
         let found = self.forwarder.placing.place(need, until, left).await;
         let place = found.map_err(|lack| {
             self.forwarder.poison.released(&self.context);
-            NotTaken::before(format!("no other replica: {lack}"))
+            ResumeFailure::without_attempt(format!("no other replica: {lack}"))
         })?;
         self.forwarder
             .poison
             .still_admits(&self.context, self.suspicion)
-            .map_err(NotTaken::before)?;
+            .map_err(ResumeFailure::without_attempt)?;
         let replica = Arc::clone(&place.replica);
         self.tried.push(Arc::clone(&replica.incarnation));
         let sent = Instant::now();
@@ -322,13 +344,14 @@
                 let Missed { reason, cut, .. } = missed;
                 let failed = self.examine(replica, sent, reason, cut).await;
                 let reason = failed.reason.clone();
-                return Err(NotTaken { reason, failed: Some(failed) });
+                return Err(ResumeFailure { reason, failed: Some(failed) });
             }
         };
         let replica = &replica.incarnation;
         if !answered.head.status.is_success() {
-            let reason = format!("{replica} says {}", answered.head.status);
-            return Err(NotTaken::before(reason));
+            let reason =
+                format!("{replica} answered {}", answered.head.status);
+            return Err(ResumeFailure::without_attempt(reason));
         }
         self.headers = answered.head.headers;
         self.upstream = Some(answered.upstream);
@@ -341,7 +364,7 @@
         Ok(())
     }
 
-    fn cut(&mut self, reason: &str) -> BodyError {
+    fn abort(&mut self, reason: &str) -> BodyError {
         self.ended = true;
         self.forwarder.poison.given_up(&self.context);
         let code = if self.context.left().is_zero() {
@@ -369,7 +392,7 @@
     }
 }
 
-/// Returns the body that a relay feeds.
+/// Returns a body that streams the events of a relay.
 pub(crate) fn relay(state: Relay) -> Body {
     let items = futures::stream::unfold(Some(state), |state| async {
         let mut state = state?;
