--- a/crates/gateway/src/hall_reader.rs
+++ b/crates/gateway/src/hall_reader.rs
@@ -1,4 +1,4 @@
-//! Asking another entry for what it has read of the platform.
+//! Requests to other entries for the data that they read from the platform.
 
 mod round;
 
@@ -21,17 +21,18 @@
 use crate::news::fetch_routes;
 use crate::published::{FetchError, fetch_published};
 
-/// The pause before an entry with old news is asked again; the question has
-/// waited there for up to an eighth of the bound that it serves.
-const ASK_AGAIN: Duration = Duration::from_millis(100);
+/// The delay before an entry with stale data is asked again. The question has
+/// already waited there for up to an eighth of the propagation bound.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Of so many times that an entry would wait for another's news it reads the
-/// platform once: that may turn the readers of a hall away and serve the
-/// others. A round of waiting takes about 0.7 s and a call that is not
-/// answered 2.8 s, so of a hall's 40 entries eight are reading at any moment.
-const READ_ANYWAY: u32 = 20;
+/// An entry that would wait for another's data instead reads the platform with
+/// a probability of 1 in this number, since the platform may reject the
+/// readers of a hall and serve the other entries. A round of waiting takes
+/// about 0.7 s and an unanswered call 2.8 s, so of a hall's 40 entries eight
+/// are reading at any time.
+const READ_ODDS: u32 = 20;
 
-/// Asks the first in rank of the entries.
+/// The entries that one entry asks for published data, in order of rank.
 pub(crate) struct HallReaders {
     dispatcher: Arc<Dispatcher>,
     facts: Arc<Facts>,
@@ -41,7 +42,7 @@
 }
 
 impl HallReaders {
-    /// Returns the choice of the entry that others reach at `own`.
+    /// Returns the readers for the entry that others reach at `own`.
     pub(crate) fn new(
         dispatcher: Arc<Dispatcher>,
         own: SocketAddr,
@@ -57,14 +58,14 @@
         }
     }
 
-    /// Returns whether another entry reads for this one.
+    /// Returns whether another entry reads the platform for this one.
     pub(crate) fn has_reader(&self) -> bool {
         let entries = self.entries();
         self.choice().choose(&entries, self.facts.now()).is_some()
     }
 
-    /// Returns the entries that this one knows of: the first of each hall,
-    /// and those that lead its own.
+    /// Returns the known entries: the first-ranked of each hall, and the
+    /// leading ones of its own.
     fn entries(&self) -> Vec<HallEntry> {
         let mut entries = Vec::clone(&self.dispatcher.entries());
         let hall: Arc<str> = Arc::from(self.dispatcher.hall());
@@ -76,44 +77,44 @@
         entries
     }
 
-    /// Asks one entry, and notes how it stands.
-    async fn hear(
+    /// Asks an entry, and records whether it answered with fresh data.
+    async fn query(
         &self,
         entry: SocketAddr,
         question: &SharedQuestion,
     ) -> Option<ReaderAnswer> {
         match fetch_published(&self.client, entry, question).await {
             Ok(shared) => {
-                self.answered(entry);
+                self.record_success(entry);
                 Some(ReaderAnswer { entry, shared })
             }
-            Err(unheard) => {
-                self.failed(entry, &unheard);
+            Err(error) => {
+                self.record_failure(entry, &error);
                 None
             }
         }
     }
 
-    /// Returns the entry to ask beside a reading of the platform: one that
-    /// had old news, or else one that has not been asked of late.
-    fn beside_reading(&self) -> Option<SocketAddr> {
+    /// Returns the entry to ask while a read of the platform is in progress:
+    /// one that had stale data, or else one that is not excluded.
+    fn entry_during_read(&self) -> Option<SocketAddr> {
         let entries = self.entries();
         let now = self.facts.now();
         let choice = self.choice();
-        let alive = choice.first_responsive(&entries);
-        alive.or_else(|| choice.choose(&entries, now))
+        let responsive = choice.first_responsive(&entries);
+        responsive.or_else(|| choice.choose(&entries, now))
     }
 
-    fn failed(&self, entry: SocketAddr, unheard: &FetchError) {
+    fn record_failure(&self, entry: SocketAddr, failure: &FetchError) {
         let now = self.facts.now();
-        let was_well = match unheard {
+        let was_healthy = match failure {
             FetchError::Failed(_) => self.choice().record_failure(entry, now),
             FetchError::Stale(_) => self.choice().record_stale(entry, now),
         };
-        if !was_well {
+        if !was_healthy {
             return;
         }
-        let error = unheard.error();
+        let error = failure.error();
         self.facts.log().write(&Decision::DependencyLost {
             dependency: &format!("hall reader {entry}"),
             code: error.code().number(),
@@ -121,7 +122,7 @@
         });
     }
 
-    fn answered(&self, entry: SocketAddr) {
+    fn record_success(&self, entry: SocketAddr) {
         let now = self.facts.now();
         let Some(lost) = self.choice().record_success(entry, now) else {
             return;
@@ -140,22 +141,22 @@
 impl HallReader for HallReaders {
     fn ask(&self, question: SharedQuestion) -> BoxFuture<'_, HallNews> {
         Box::pin(async move {
-            if let Some(answer) = self.ask_in_turn(&question).await {
+            if let Some(answer) = self.ask_by_rank(&question).await {
                 return HallNews::Told(answer);
             }
             if question.collection == Collection::Replicas {
-                // Its changes are small, and a leaving replica must be known
-                // in time whatever has become of the readers.
+                // Its changes are small, and leaving replicas must be known
+                // in time even if the readers have failed.
                 return HallNews::Nobody;
             }
             let leading = self.dispatcher.ranked().len();
             let entries = self.entries();
             let awaited = self.choice().reader_to_await(&entries, leading);
             let Some(entry) = awaited else { return HallNews::Nobody };
-            if rand::rng().random_ratio(1, READ_ANYWAY) {
+            if rand::rng().random_ratio(1, READ_ODDS) {
                 return HallNews::Nobody;
             }
-            match self.hear(entry, &question).await {
+            match self.query(entry, &question).await {
                 Some(answer) => HallNews::Told(answer),
                 None => HallNews::Awaited,
             }
@@ -165,12 +166,12 @@
     fn news(&self, question: SharedQuestion) -> BoxFuture<'_, ReaderAnswer> {
         Box::pin(async move {
             loop {
-                if let Some(entry) = self.beside_reading()
-                    && let Some(answer) = self.hear(entry, &question).await
+                if let Some(entry) = self.entry_during_read()
+                    && let Some(answer) = self.query(entry, &question).await
                 {
                     return answer;
                 }
-                tokio::time::sleep(ASK_AGAIN).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         })
     }
--- a/crates/gateway/src/hall_reader/round.rs
+++ b/crates/gateway/src/hall_reader/round.rs
@@ -1,9 +1,9 @@
-//! One round of questions: the first in rank, and others while it is silent.
+//! Hedged requests to the entries of a hall, in order of rank.
 //!
-//! A reader that is frozen or cut off says nothing, and to wait for it costs
-//! time that the bound does not have often. So the next one is asked while
-//! the one before is late, and an entry reads the platform itself only once
-//! all that it knows of have failed.
+//! A reader that is frozen or partitioned does not answer, and waiting for its
+//! timeout would use up the propagation bound. So the next entry is asked as
+//! soon as the previous one is late, and the platform is read only once all
+//! known entries have failed.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -17,64 +17,65 @@
 use super::HallReaders;
 use crate::published::FetchError;
 
-/// How many silent ones are waited for one after the other. The others are
-/// asked at a time: with waits of an eighth of the bound and five entries,
-/// the platform is read after 0.63 of the bound if all of them are silent.
-const IN_TURN: usize = 2;
+/// The number of entries that are asked with a delay in between; the others
+/// are then asked at the same time. With waits of an eighth of the bound and
+/// five entries that do not answer, the platform is read after 0.63 of the
+/// bound.
+const MAX_DELAYED: usize = 2;
 
-/// An entry that has been asked.
+/// An entry that has been asked and has not answered yet.
 #[derive(Clone, Copy)]
-struct Asked {
+struct PendingEntry {
     entry: SocketAddr,
     at: Instant,
 }
 
-/// Returns how long one is waited for before the next is asked too: half as
-/// long again as a question waits there at most. The rest is for its way and
-/// for a processor that is busy.
-fn patience(question: &SharedQuestion) -> Duration {
+/// Returns the delay after which the next entry is asked as well: 1.5 times
+/// the maximum wait of the question. The excess covers the network and busy
+/// processors.
+fn hedge_delay(question: &SharedQuestion) -> Duration {
     Duration::from_millis(question.wait_ms) * 3 / 2
 }
 
 impl HallReaders {
-    /// Asks entries in the order of their rank until one tells something.
-    pub(super) async fn ask_in_turn(
+    /// Asks entries in order of rank until one has fresh data.
+    pub(super) async fn ask_by_rank(
         &self,
         question: &SharedQuestion,
     ) -> Option<ReaderAnswer> {
         let entries = self.entries();
         let mut count = 0;
-        let mut pending: Vec<Asked> = Vec::new();
+        let mut pending: Vec<PendingEntry> = Vec::new();
         let mut answers = FuturesUnordered::new();
         loop {
             let next = self.next(&entries, &pending, count);
             if let Some(entry) = next {
                 count += 1;
-                pending.push(Asked { entry, at: Instant::now() });
+                pending.push(PendingEntry { entry, at: Instant::now() });
                 answers.push(async move {
-                    (entry, self.hear(entry, question).await)
+                    (entry, self.query(entry, question).await)
                 });
             }
-            let pause = self.pause(question, next, count);
+            let delay = self.delay(question, next, count);
             tokio::select! {
                 answer = answers.next() => {
-                    let (entry, heard) = answer?;
+                    let (entry, data) = answer?;
                     pending.retain(|asked| asked.entry != entry);
-                    if heard.is_some() {
-                        self.leave(&pending, patience(question));
-                        return heard;
+                    if data.is_some() {
+                        self.record_late(&pending, hedge_delay(question));
+                        return data;
                     }
                 }
-                () = tokio::time::sleep(pause), if next.is_some() => {}
+                () = tokio::time::sleep(delay), if next.is_some() => {}
             }
         }
     }
 
-    /// Returns the next entry to ask, if there is one.
+    /// Returns the next entry to ask, or `None` if there is no other.
     fn next(
         &self,
         entries: &[HallEntry],
-        pending: &[Asked],
+        pending: &[PendingEntry],
         count: usize,
     ) -> Option<SocketAddr> {
         if count >= ReaderChoice::MAX_ASKED {
@@ -84,37 +85,37 @@
         self.choice().choose_next(entries, &asked, self.facts.now())
     }
 
-    /// Returns how long after an entry the next one is asked. One that has
-    /// failed before may still be silent, and is not waited for.
-    fn pause(
+    /// Returns the delay between asking an entry and asking the next one. It
+    /// is zero for an entry that failed before and may still be unresponsive.
+    fn delay(
         &self,
         question: &SharedQuestion,
         asked: Option<SocketAddr>,
         count: usize,
     ) -> Duration {
-        let doubted = asked.is_some_and(|e| self.choice().has_failed(e));
-        if doubted || count > IN_TURN {
+        let has_failed = asked.is_some_and(|e| self.choice().has_failed(e));
+        if has_failed || count > MAX_DELAYED {
             return Duration::ZERO;
         }
-        patience(question)
+        hedge_delay(question)
     }
 
-    /// Notes of those that have not answered that they are silent, where they
-    /// have had the time to answer.
-    fn leave(&self, pending: &[Asked], patience: Duration) {
+    /// Records the pending entries as failed that have had enough time to
+    /// answer.
+    fn record_late(&self, pending: &[PendingEntry], timeout: Duration) {
         let now = self.facts.now();
         for asked in pending {
             if self.choice().has_failed(asked.entry) {
                 self.choice().extend_backoff(asked.entry, now);
                 continue;
             }
-            let silent = asked.at.elapsed();
-            if silent < patience {
+            let waited = asked.at.elapsed();
+            if waited < timeout {
                 continue;
             }
-            let why = format!("no answer in {} ms", silent.as_millis());
-            let lost = FetchError::Failed(Error::new(Code::PeerLost, why));
-            self.failed(asked.entry, &lost);
+            let why = format!("no answer in {} ms", waited.as_millis());
+            let failure = FetchError::Failed(Error::new(Code::PeerLost, why));
+            self.record_failure(asked.entry, &failure);
         }
     }
 }
