--- a/crates/gateway/src/cancel_watch.rs
+++ b/crates/gateway/src/cancel_guard.rs
@@ -1,4 +1,4 @@
-//! Noticing callers that go.
+//! Detection of callers that disconnect before their answer.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -7,34 +7,35 @@
 
 use crate::forward::Forwarder;
 
-/// Notes that a caller went before its answer's head was there.
-pub(crate) struct CancelWatch {
+/// Counts and logs a request as cancelled if it is dropped, as happens when
+/// the caller disconnects, before [`CancelGuard::disarm`] is called.
+pub(crate) struct CancelGuard {
     forwarder: Arc<Forwarder>,
     id: Arc<str>,
     started: Instant,
-    done: bool,
+    disarmed: bool,
 }
 
-impl CancelWatch {
-    /// Watches a request from its head on.
+impl CancelGuard {
+    /// Returns a guard for a request whose head arrived at `started`.
     pub(crate) fn new(
         forwarder: &Arc<Forwarder>,
         id: Arc<str>,
         started: Instant,
-    ) -> CancelWatch {
+    ) -> CancelGuard {
         let forwarder = Arc::clone(forwarder);
-        CancelWatch { forwarder, id, started, done: false }
+        CancelGuard { forwarder, id, started, disarmed: false }
     }
 
-    /// Notes that the head of the answer is there.
-    pub(crate) const fn done(&mut self) {
-        self.done = true;
+    /// Disarms the guard, since the head of the answer is available.
+    pub(crate) const fn disarm(&mut self) {
+        self.disarmed = true;
     }
 }
 
-impl Drop for CancelWatch {
+impl Drop for CancelGuard {
     fn drop(&mut self) {
-        if self.done {
+        if self.disarmed {
             return;
         }
         self.forwarder.metrics.cancelled.inc();
--- a/crates/gateway/src/forward/attempts.rs
+++ b/crates/gateway/src/forward/attempts.rs
@@ -144,7 +144,7 @@
             .min(from + context.route.objective() / WAIT_DIVISOR);
         let left = context.remaining();
         let found = self.placing.place(need.clone(), until, left).await;
-        self.metrics.waited(from.elapsed().as_secs_f64());
+        self.metrics.observe_wait(from.elapsed().as_secs_f64());
         let reason = match found {
             Ok(place) => return Ok(place),
             Err(reason) => reason,
--- a/crates/gateway/src/forward/send.rs
+++ b/crates/gateway/src/forward/send.rs
@@ -13,9 +13,9 @@
 use stairhinge::placing::Outcome;
 
 use super::{Answered, AttemptError, Forwarder};
-use crate::dialect::{Attempt, Judgement};
+use crate::dialect::{Attempt, ResponseKind};
 use crate::dispatch::Place;
-use crate::hop_headers::strip;
+use crate::hop_headers::remove_hop_headers;
 use crate::pool::Connection;
 use crate::relay::Upstream;
 use crate::request_context::RequestContext;
@@ -70,30 +70,31 @@
             }
         };
         let (head, body) = response.into_parts();
-        let judgement = self.dialect.judge(&context.caller.id, &head);
+        let judgement =
+            self.dialect.classify_response(&context.caller.id, &head);
         if judgement.is_from_intended_replica() {
             place.handle_notice(&self.dialect.read_notice(&head), sent_at);
         }
         match judgement {
-            Judgement::Answer { version } => {
+            ResponseKind::Answer { version } => {
                 place.record_begin();
                 let upstream =
                     Upstream { body, connection, place, sent: at, version };
                 Ok(Answered { head, upstream })
             }
-            Judgement::Declined => {
+            ResponseKind::Declined => {
                 place.record_outcome(Outcome::Full);
                 self.reuse(connection, head, body).await;
                 let why = "the replica declined the request";
                 Err(AttemptError::new(AttemptResult::Declined, why))
             }
-            Judgement::Misdirected => {
+            ResponseKind::Misdirected => {
                 place.record_outcome(Outcome::Misdirected);
                 self.reuse(connection, head, body).await;
                 let why = "the replica is another one, or has another version";
                 Err(AttemptError::new(AttemptResult::Declined, why))
             }
-            Judgement::Foreign => {
+            ResponseKind::Unrelated => {
                 let why = "the answer belongs to another request";
                 Err(AttemptError::new(AttemptResult::NoResponse, why))
             }
@@ -123,9 +124,9 @@
         after_event: Option<u64>,
     ) -> Request<Full<Bytes>> {
         let mut headers = context.head.headers.clone();
-        strip(&mut headers);
+        remove_hop_headers(&mut headers);
         headers.remove(CONTENT_LENGTH);
-        self.dialect.write(
+        self.dialect.set_headers(
             &mut headers,
             &Attempt {
                 incarnation: &place.replica.incarnation,
--- a/crates/gateway/src/placing.rs
+++ b/crates/gateway/src/placing.rs
@@ -26,8 +26,8 @@
 pub(crate) use self::lease::Lease;
 use self::placer::GrantedPlaces;
 use crate::dispatch::{Dispatcher, Place};
+use crate::peer_socket::PeerSocket;
 use crate::poison::PoisonGossip;
-use crate::wire::Wire;
 
 /// The interval at which ended places are reclaimed and the entry checks
 /// whether it knows enough to place requests for others.
@@ -51,7 +51,7 @@
 /// The state for communication with other entries.
 struct Peers {
     own: SocketAddr,
-    wire: Arc<Wire>,
+    wire: Arc<PeerSocket>,
     /// Whether one entry places requests for the whole hall.
     hall_placing: bool,
     gossip: Arc<PoisonGossip>,
@@ -75,7 +75,7 @@
     pub(crate) fn new(
         dispatcher: Arc<Dispatcher>,
         own: SocketAddr,
-        wire: Arc<Wire>,
+        wire: Arc<PeerSocket>,
         hall_placing: bool,
         gossip: Arc<PoisonGossip>,
     ) -> HallPlacing {
@@ -263,7 +263,7 @@
                 peers.granted.handle_event(from, number, event);
             }
             Ok(Message::Poison(news)) => peers.gossip.handle(from, news),
-            Err(error) if peers.wire.is_new_fault(from) => {
+            Err(error) if peers.wire.is_first_fault(from) => {
                 self.dispatcher.facts().log().write(&Decision::SourceFailed {
                     source: &format!("entry {from}"),
                     code: error.code().number(),
--- a/crates/gateway/src/placing/asker.rs
+++ b/crates/gateway/src/placing/asker.rs
@@ -12,11 +12,11 @@
 use tokio::sync::mpsc;
 
 use super::lease::Lease;
-use crate::wire::Wire;
+use crate::peer_socket::PeerSocket;
 
 /// Sends questions to placers and receives the answers.
 pub(super) struct Asker {
-    wire: Arc<Wire>,
+    wire: Arc<PeerSocket>,
     pending: Arc<Mutex<PendingQuestions>>,
 }
 
@@ -40,7 +40,7 @@
 
 impl Asker {
     /// Returns an asker without pending questions.
-    pub(super) fn new(wire: Arc<Wire>) -> Asker {
+    pub(super) fn new(wire: Arc<PeerSocket>) -> Asker {
         let last_number = u64::from(rand::rng().random::<u32>()) << 20;
         let pending =
             PendingQuestions { last_number, waiting: HashMap::new() };
@@ -108,7 +108,7 @@
 
 /// A pending question.
 pub(super) struct PendingQuestion {
-    wire: Arc<Wire>,
+    wire: Arc<PeerSocket>,
     pending: Arc<Mutex<PendingQuestions>>,
     placer: SocketAddr,
     number: u64,
@@ -143,7 +143,7 @@
     }
 }
 
-fn return_place(wire: &Wire, placer: SocketAddr, number: u64) {
+fn return_place(wire: &PeerSocket, placer: SocketAddr, number: u64) {
     let event = PlaceEvent::Ended { outcome: Outcome::Unknown };
     wire.send(placer, &Message::Event { number, event });
 }
--- a/crates/gateway/src/placing/lease.rs
+++ b/crates/gateway/src/placing/lease.rs
@@ -7,13 +7,13 @@
 use stairhinge::placing::{Message, Outcome, PlaceEvent, RateLimit};
 
 use super::asker::millis;
-use crate::wire::Wire;
+use crate::peer_socket::PeerSocket;
 
 /// A place that another entry has granted. Dropping the lease returns the
 /// place.
 #[derive(Debug)]
 pub(crate) struct Lease {
-    wire: Arc<Wire>,
+    wire: Arc<PeerSocket>,
     placer: SocketAddr,
     number: u64,
     outcome: Outcome,
@@ -22,7 +22,7 @@
 impl Lease {
     /// Returns the lease of the place that the placer granted for a question.
     pub(super) const fn new(
-        wire: Arc<Wire>,
+        wire: Arc<PeerSocket>,
         placer: SocketAddr,
         number: u64,
     ) -> Lease {
--- a/crates/gateway/src/placing/placer.rs
+++ b/crates/gateway/src/placing/placer.rs
@@ -10,7 +10,7 @@
 };
 
 use crate::dispatch::{Dispatcher, Place, PlaceResult};
-use crate::wire::Wire;
+use crate::peer_socket::PeerSocket;
 
 /// The places that this entry has granted to other entries.
 #[derive(Default)]
@@ -23,7 +23,7 @@
     pub(super) fn answer(
         self: &Arc<Self>,
         dispatcher: &Arc<Dispatcher>,
-        wire: &Arc<Wire>,
+        wire: &Arc<PeerSocket>,
         from: SocketAddr,
         question: Question,
         ready: bool,
--- a/crates/gateway/src/poison/gossip.rs
+++ b/crates/gateway/src/poison/gossip.rs
@@ -18,7 +18,7 @@
 
 use super::PoisonWatch;
 use crate::dispatch::Dispatcher;
-use crate::wire::Wire;
+use crate::peer_socket::PeerSocket;
 
 /// The interval at which an entry compares its table with that of another one.
 /// With seven entries each is compared four times a second, so that a lost
@@ -50,7 +50,7 @@
 pub(crate) struct PoisonGossip {
     watch: Arc<PoisonWatch>,
     dispatcher: Arc<Dispatcher>,
-    wire: Arc<Wire>,
+    wire: Arc<PeerSocket>,
     own: SocketAddr,
     /// When each other entry last sent a message or was last reported.
     last_seen: Mutex<HashMap<SocketAddr, Instant>>,
@@ -61,7 +61,7 @@
     pub(crate) fn new(
         watch: Arc<PoisonWatch>,
         dispatcher: Arc<Dispatcher>,
-        wire: Arc<Wire>,
+        wire: Arc<PeerSocket>,
         own: SocketAddr,
     ) -> PoisonGossip {
         PoisonGossip {
--- a/crates/gateway/src/published.rs
+++ b/crates/gateway/src/published.rs
@@ -1,4 +1,4 @@
-//! Asking an entry for what is published, as it has learned it.
+//! Requests to an entry for the published data that it has received.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,94 +9,94 @@
 use stairhinge_shell::directory::{SharedAnswer, SharedQuestion};
 use stairhinge_shell::http::{Client, full, read};
 
-/// The path at which an entry answers other processes.
-pub(crate) const PUBLISHED: &str = "/published";
+/// The path at which an entry serves published data to other processes.
+pub(crate) const PUBLISHED_PATH: &str = "/published";
 
-/// The largest answer, in bytes.
-const MOST_ANSWER: usize = 16 << 20;
+/// The maximum size of an answer.
+const MAX_ANSWER_BYTES: usize = 16 << 20;
 
-/// How long an answer may take to a question that waits for nothing.
-const AT_ONCE: Duration = Duration::from_millis(1_000);
+/// The timeout of a question with a `wait_ms` of 0.
+const IMMEDIATE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Why an entry told nothing of use.
+/// Why an entry provided no usable data.
 #[derive(Debug)]
-pub enum Unheard {
-    /// It did not answer.
-    Lost(Error),
-    /// It answered, and knows nothing new enough.
-    Old(Error),
+pub enum FetchError {
+    /// There was no valid answer.
+    Failed(Error),
+    /// It answered, but has no data that is recent enough.
+    Stale(Error),
 }
 
-impl Unheard {
-    /// Returns what came back.
+impl FetchError {
+    /// Returns the underlying error.
     pub const fn error(&self) -> &Error {
         match self {
-            Unheard::Lost(error) | Unheard::Old(error) => error,
+            FetchError::Failed(error) | FetchError::Stale(error) => error,
         }
     }
 }
 
-impl From<Error> for Unheard {
-    fn from(error: Error) -> Unheard {
-        Unheard::Lost(error)
+impl From<Error> for FetchError {
+    fn from(error: Error) -> FetchError {
+        FetchError::Failed(error)
     }
 }
 
-fn lost(why: impl ToString) -> Unheard {
-    Unheard::Lost(Error::new(Code::PeerLost, why.to_string()))
+fn failed(why: impl ToString) -> FetchError {
+    FetchError::Failed(Error::new(Code::PeerLost, why.to_string()))
 }
 
-fn old(why: impl ToString) -> Unheard {
-    Unheard::Old(Error::new(Code::PeerLost, why.to_string()))
+fn stale(why: impl ToString) -> FetchError {
+    FetchError::Stale(Error::new(Code::PeerLost, why.to_string()))
 }
 
-/// Asks one entry, and takes nothing old from it.
+/// Asks an entry for published data, and rejects stale answers.
 ///
 /// # Errors
 ///
-/// [`Unheard::Lost`] if it does not answer within twice the time that the
-/// question may wait there, [`Unheard::Old`] if its answer is older than the
-/// question allows or than what the asker knows.
-pub async fn ask_published(
+/// [`FetchError::Failed`] if the entry does not answer within twice the
+/// question's `wait_ms`, [`FetchError::Stale`] if its answer is older than
+/// the question allows or than what the caller knows.
+pub async fn fetch_published(
     client: &Client,
     entry: SocketAddr,
     question: &SharedQuestion,
-) -> Result<SharedAnswer, Unheard> {
-    let answer = call(client, entry, question).await?;
+) -> Result<SharedAnswer, FetchError> {
+    let answer = request_published(client, entry, question).await?;
     if question.after.is_some_and(|after| after > answer.at) {
-        return Err(old(format!("it is behind, at {}", answer.at)));
+        return Err(stale(format!("entry is behind, at {}", answer.at)));
     }
-    // Newer routes are worth taking however old the rest is: they only
-    // go forward.
+    // Newer routes are useful however old the rest is, since their revision
+    // never decreases.
     if answer.age_ms > question.most_age_ms
         && !answer.has_newer_routes(question)
     {
         let (age, most) = (answer.age_ms, question.most_age_ms);
-        return Err(old(format!("its news are {age} ms old, over {most}")));
+        return Err(stale(format!("data is {age} ms old, limit {most} ms")));
     }
     Ok(answer)
 }
 
-async fn call(
+async fn request_published(
     client: &Client,
     entry: SocketAddr,
     question: &SharedQuestion,
-) -> Result<SharedAnswer, Unheard> {
-    // An answer that takes twice as long as it waits at most has lost its
-    // way.
+) -> Result<SharedAnswer, FetchError> {
+    // An answer that takes twice the maximum wait counts as lost.
     let wait = Duration::from_millis(question.wait_ms);
-    let within = if wait.is_zero() { AT_ONCE } else { wait * 2 };
+    let timeout = if wait.is_zero() { IMMEDIATE_TIMEOUT } else { wait * 2 };
     let json = serde_json::to_vec(question)
         .map_err(|e| Error::new(Code::Internal, e))?;
-    let request = Request::post(PUBLISHED)
+    let request = Request::post(PUBLISHED_PATH)
         .header(CONTENT_TYPE, "application/json")
         .body(full(json))
         .map_err(|e| Error::new(Code::Internal, e))?;
-    let response = client.send(entry, request, within).await.map_err(lost)?;
+    let response =
+        client.send(entry, request, timeout).await.map_err(failed)?;
     if !response.status().is_success() {
-        return Err(old(format!("answers {}", response.status())));
+        return Err(stale(format!("entry answered {}", response.status())));
     }
-    let bytes = read(response.into_body(), MOST_ANSWER, within).await?;
+    let bytes = read(response.into_body(), MAX_ANSWER_BYTES, timeout).await?;
     let answer = serde_json::from_slice(&bytes)
         .map_err(|e| Error::new(Code::MalformedJson, e))?;
     Ok(answer)
