--- a/crates/loader/src/agent.rs
+++ b/crates/loader/src/agent.rs
@@ -136,7 +136,7 @@
     pub(crate) async fn engine_state(&self) -> Result<EngineState, Error> {
         let state = self.engine.state().await?;
         let layers = self.engine_kind().map_or(0, |kind| kind.layers);
-        Ok(state.whole(layers))
+        Ok(state.without_partial_model(layers))
     }
 
     /// Returns what is published of the engine's kind.
--- a/crates/loader/src/drive.rs
+++ b/crates/loader/src/drive.rs
@@ -307,8 +307,8 @@
     outcome: &Result<LoadOutcome, Error>,
 ) {
     let said = match outcome {
-        Ok(LoadOutcome::Begun) => "begun",
-        Ok(LoadOutcome::Held) => "held already",
+        Ok(LoadOutcome::Started) => "begun",
+        Ok(LoadOutcome::AlreadyLoaded) => "held already",
         Ok(LoadOutcome::Conflict) => "conflict",
         Err(_) => "no answer",
     };
--- a/crates/loader/src/engine.rs
+++ b/crates/loader/src/engine.rs
@@ -1,4 +1,4 @@
-//! The border to an engine that takes staged chunks.
+//! The interface to an engine that loads its weights from staged chunks.
 
 use std::sync::Arc;
 
@@ -8,33 +8,33 @@
 use stairhinge::direct::LayerRange;
 use stairhinge_chunks::ChunkStage;
 
-/// What an engine says of itself.
+/// The state that an engine reports.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EngineState {
-    /// The model that it holds.
+    /// The loaded model.
     pub model: Option<Arc<str>>,
-    /// The version of its weights.
+    /// The version of the loaded weights.
     pub version: Option<u64>,
-    /// The layers that it holds, where these may not be all.
+    /// The loaded layers, unless all are known to be loaded.
     pub layers: Option<LayerRange>,
-    /// Whether an order is under way.
+    /// Whether a load order is in progress.
     pub busy: bool,
-    /// Orders that it has taken; it forgets them when it restarts.
+    /// The number of orders accepted since the engine's last restart.
     pub sequence: u64,
-    /// Requests that it runs.
+    /// The number of running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// The number of queued requests.
     pub queued: u32,
-    /// How slow it is; 1 is usual.
+    /// The slowdown factor; 1 is the usual speed.
     pub pace: f32,
 }
 
 impl EngineState {
-    /// Returns it as one that holds nothing, unless it holds all of `layers`
-    /// layers: what it holds of a model in part serves nobody.
+    /// Clears the model and version unless all `layers` layers are loaded. A
+    /// partly loaded model cannot serve requests.
     #[must_use]
-    pub fn whole(mut self, layers: u32) -> EngineState {
-        if self.layers.is_some_and(|run| !run.is_whole(layers)) {
+    pub fn without_partial_model(mut self, layers: u32) -> EngineState {
+        if self.layers.is_some_and(|loaded| !loaded.is_whole(layers)) {
             self.model = None;
             self.version = None;
         }
@@ -42,42 +42,42 @@
     }
 }
 
-/// An order to load what is staged.
+/// An order to load the staged chunks.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LoadOrder {
     /// The model.
     pub model: Arc<str>,
-    /// The version that the staged chunks make up.
+    /// The version that the staged chunks belong to.
     pub version: u64,
-    /// The orders that the engine is expected to have taken.
+    /// The expected [`EngineState::sequence`] of the engine.
     pub sequence: u64,
-    /// The layers to load, where these are not all.
+    /// The layers to load, or `None` for all.
     pub layers: Option<LayerRange>,
 }
 
-/// What an engine said to an order.
+/// An engine's answer to a load order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LoadOutcome {
-    /// The load has begun.
-    Begun,
-    /// It holds the version already.
-    Held,
-    /// The order does not fit the engine's state.
+    /// The load has started.
+    Started,
+    /// The version is already loaded.
+    AlreadyLoaded,
+    /// The order does not match the engine's state.
     Conflict,
 }
 
-/// An engine that takes staged chunks and load orders from its own instance.
+/// An engine that accepts staged chunks and load orders from its instance.
 pub trait StagedEngine: ChunkStage {
-    /// Asks how it stands.
+    /// Queries the engine's state.
     fn state(&self) -> BoxFuture<'_, Result<EngineState, Error>>;
 
-    /// Returns which chunks lie staged for a model.
+    /// Returns the indices of the chunks staged for a model.
     fn staged<'a>(
         &'a self,
         model: &'a str,
     ) -> BoxFuture<'a, Result<Vec<u32>, Error>>;
 
-    /// Stages a chunk, over what lies there.
+    /// Stages a chunk, replacing any chunk at the same index.
     fn write<'a>(
         &'a self,
         model: &'a str,
@@ -85,7 +85,7 @@
         bytes: Bytes,
     ) -> BoxFuture<'a, Result<(), Error>>;
 
-    /// Orders a load of what is staged.
+    /// Orders the engine to load the staged chunks.
     fn load<'a>(
         &'a self,
         order: &'a LoadOrder,
