--- a/crates/loader/src/settings.rs
+++ b/crates/loader/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of an agent.
+//! The settings of an agent.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,39 +12,42 @@
 /// The settings of an agent beside an engine.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct AgentSettings {
-    /// The instance's name.
+    /// The name of the instance.
     pub instance: Arc<str>,
-    /// Its data hall.
+    /// The data hall of the instance.
     pub hall: Arc<str>,
-    /// Where peers and entries connect; agents share one port.
+    /// The address that peers and entries connect to. All agents use the
+    /// same port.
     pub listen: SocketAddr,
-    /// The engine's address.
+    /// The address of the engine.
     pub engine: SocketAddr,
-    /// The engine's service.
+    /// The service of the engine.
     pub service: Arc<str>,
-    /// How long a planned stop may take, in seconds.
+    /// The maximum duration of a planned stop, in seconds.
     #[serde(deserialize_with = "whole")]
     pub grace_s: u64,
-    /// Within which a named version has to serve, in milliseconds.
+    /// The time within which a newly targeted version must be serving, in
+    /// milliseconds.
     #[serde(deserialize_with = "whole")]
     pub version_ms: u64,
-    /// How long a process may need to be up to date again after a start or
-    /// a cut, in milliseconds.
+    /// The time within which a process must be up to date again after a start
+    /// or a network partition, in milliseconds.
     #[serde(deserialize_with = "whole")]
     pub contact_ms: u64,
-    /// What the instance's link carries, in megabits a second.
+    /// The bandwidth of the instance's link, in megabits per second.
     pub link_mbps: LinkMbps,
-    /// Whether the whole platform starts for the first time: nobody serves
-    /// callers yet.
+    /// Whether the whole platform is starting for the first time, so that no
+    /// process serves callers yet.
     #[serde(default)]
     pub first_start: bool,
-    /// How often the engine is asked, in milliseconds.
+    /// The interval between queries of the engine's state, in milliseconds.
     #[serde(default = "default_poll_ms")]
     pub poll_ms: u64,
 }
 
-/// Entries choose by what was last reported: of all requests 10.5 in 100 were
-/// late where engines were asked each 100 ms, and 9.6 at 40 ms.
+/// Entries choose replicas by the last reported load, so older reports lead to
+/// worse choices: 10.5 % of requests were late with an interval of 100 ms, and
+/// 9.6 % with 40 ms.
 const fn default_poll_ms() -> u64 {
     40
 }
@@ -59,7 +62,8 @@
         Ok(settings)
     }
 
-    // Who the agent is and whom it serves needs a new start.
+    // The identity, addresses and other settings take effect on a restart
+    // only.
     fn with_live(&self, next: &AgentSettings) -> AgentSettings {
         AgentSettings {
             grace_s: next.grace_s,
@@ -71,32 +75,35 @@
 }
 
 impl AgentSettings {
-    /// Returns the bytes a second that chunks may take of the link. The rest
-    /// is for answers, which would else queue behind them.
+    /// Returns the maximum rate of chunk transfers, in bytes per second. The
+    /// rest of the link is left for answers, which would otherwise queue
+    /// behind chunks.
     pub const fn chunk_rate(&self) -> u64 {
-        const PART: f64 = 0.95;
-        self.link_mbps.bytes_per_s(PART)
+        const CHUNK_FRACTION: f64 = 0.95;
+        self.link_mbps.bytes_per_s(CHUNK_FRACTION)
     }
 
-    /// Returns how long the instance's link takes for some bytes; that of
-    /// the origin is taken to carry as much.
+    /// Returns how long the instance's link takes to transfer `bytes`. The
+    /// origin's link is assumed to have the same bandwidth.
     pub fn transfer(&self, bytes: u32) -> Duration {
         self.link_mbps.transfer(bytes)
     }
 
-    /// Returns how often the engine is asked.
+    /// Returns the interval between queries of the engine's state.
     pub const fn poll(&self) -> Duration {
         Duration::from_millis(self.poll_ms)
     }
 
-    /// Returns within which a named version has to serve.
+    /// Returns the time within which a newly targeted version must be
+    /// serving.
     pub const fn version_bound(&self) -> Duration {
         Duration::from_millis(self.version_ms)
     }
 
-    /// Returns how old a version is taken to be that was named before the
-    /// process began: old replicas are used only until it has to be up to
-    /// date.
+    /// Returns the presumed age of a version that was targeted before this
+    /// process started: what is left of `version_ms` at this age is
+    /// `contact_ms`, so replicas of older versions are used only until the
+    /// process must be up to date.
     pub const fn presumed_age(&self) -> Duration {
         Duration::from_millis(self.version_ms.saturating_sub(self.contact_ms))
     }
