--- a/crates/loader/src/peer_list.rs
+++ b/crates/loader/src/peer_list.rs
@@ -1,4 +1,4 @@
-//! Who else has weights: the other agents of the service, and the origin.
+//! Lists the other agents of the service, which may hold weights.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,14 +9,14 @@
 
 use crate::agent::Agent;
 
-/// Returns the other agents of the service with their data halls.
+/// Returns the addresses and data halls of the other agents of the service.
 pub(crate) fn peers(agent: &Agent) -> Vec<(Arc<str>, SocketAddr)> {
-    let me = agent.addr();
+    let own_addr = agent.addr();
     let mut peers = Vec::new();
     let view = agent.facts.view();
     for (replica, _) in view.of_service(&agent.settings.service) {
-        let addr = SocketAddr::new(replica.addr.ip(), me.port());
-        if addr != me {
+        let addr = SocketAddr::new(replica.addr.ip(), own_addr.port());
+        if addr != own_addr {
             peers.push((Arc::clone(&replica.hall), addr));
         }
     }
@@ -25,8 +25,8 @@
     peers
 }
 
-/// Reads the list of replicas, of an entry of the hall or else of the
-/// platform, cheaply: what is a little old will do.
+/// Reads the list of replicas from an entry of the hall or else from the
+/// platform. A stale list is accepted, since it costs less.
 pub(crate) async fn list_peers(agent: &Agent) {
     if agent.entries.list_replicas().await.is_ok() {
         return;
@@ -48,15 +48,15 @@
     }
 }
 
-/// Reads the list of replicas beside a fetch, which goes on meanwhile: a
-/// platform that is silent must not hold up the chunks.
+/// Reads the list of replicas in the background during a fetch, since a
+/// platform that does not answer must not delay chunks.
 #[derive(Default)]
 pub(crate) struct Relist {
     reading: Option<JoinHandle<()>>,
 }
 
 impl Relist {
-    /// Reads the list, unless it is being read already.
+    /// Starts to read the list, unless it is being read already.
     pub(crate) fn start(&mut self, agent: &Arc<Agent>) {
         if self.reading.as_ref().is_some_and(|task| !task.is_finished()) {
             return;
--- a/crates/loader/src/watch_engine.rs
+++ b/crates/loader/src/watch_engine.rs
@@ -1,4 +1,4 @@
-//! Watching the engine beside the agent, and telling the entries.
+//! Polls the agent's engine and publishes its state to entries.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -9,16 +9,17 @@
 use crate::agent::Agent;
 use crate::engine::EngineState;
 
-/// Asks the engine again and again, and publishes what it says.
+/// Polls the engine's state, publishes it, and logs when the engine is lost
+/// and regained.
 pub(crate) async fn watch_engine(agent: Arc<Agent>) {
     let mut timer = tokio::time::interval(agent.settings.poll());
     timer.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let mut lost: Option<std::time::Instant> = None;
+    let mut lost_since: Option<std::time::Instant> = None;
     loop {
         timer.tick().await;
         let state = match agent.engine_state().await {
             Ok(state) => {
-                if let Some(since) = lost.take() {
+                if let Some(since) = lost_since.take() {
                     agent.facts.log().write(&Decision::DependencyRegained {
                         dependency: "engine",
                         lost_ms: since.elapsed().as_millis() as u64,
@@ -27,8 +28,8 @@
                 Some(state)
             }
             Err(error) => {
-                if lost.is_none() {
-                    lost = Some(std::time::Instant::now());
+                if lost_since.is_none() {
+                    lost_since = Some(std::time::Instant::now());
                     agent.facts.log().write(&Decision::DependencyLost {
                         dependency: "engine",
                         code: error.code().number(),
@@ -68,7 +69,7 @@
         pace: state.pace,
         link_ms: agent.link_ms.load(Ordering::Relaxed),
         news: Some(agent.news()),
-        // Added as they are sent, to those who may know.
+        // Added by the feed for entries of the agent's hall.
         entries: None,
         leading: None,
         listening: None,
--- a/crates/loader/src/watch_link.rs
+++ b/crates/loader/src/watch_link.rs
@@ -1,4 +1,4 @@
-//! Keeping chunks from filling the instance's link.
+//! Keeps chunk transfers from saturating the instance's link.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,30 +11,32 @@
 use crate::agent::Agent;
 use crate::peer_list::peers;
 
-/// How often the link is probed while chunks go over it.
-const EVERY: Duration = Duration::from_millis(200);
+/// The interval between probes of the link while chunks are transferred.
+const PROBE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How many peers are probed at a time: some may be out of reach, or have
-/// full links themselves.
-const PROBES: usize = 3;
+/// The number of peers probed at the same time. Some of them may be
+/// unreachable or have saturated links themselves.
+const PARALLEL_PROBES: usize = 3;
 
-/// A probe that takes longer says no more.
-const LONGEST: Duration = Duration::from_millis(1_000);
+/// The maximum duration of a probe. A longer delay gives no further
+/// information.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// How long after a chunk the link still counts as in use.
-const ACTIVE: Duration = Duration::from_millis(1_000);
+/// How long after a chunk transfer the link still counts as in use.
+const ACTIVE_TIME: Duration = Duration::from_millis(1_000);
 
-/// The largest answer to a probe, in bytes.
-const MOST_ANSWER: usize = 1_024;
+/// The maximum size of the answer to a probe, in bytes.
+const MAX_ANSWER_BYTES: usize = 1_024;
 
-/// Probes the link while chunks go over it, and sets what they may take.
+/// Probes the link while chunks are transferred, and adjusts the share of the
+/// link that they may use.
 pub(crate) async fn watch_link(agent: Arc<Agent>) {
-    let mut timer = tokio::time::interval(EVERY);
+    let mut timer = tokio::time::interval(PROBE_INTERVAL);
     timer.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let mut turn = 0usize;
+    let mut next_peer = 0usize;
     loop {
         timer.tick().await;
-        if agent.idle_for() > ACTIVE {
+        if agent.idle_for() > ACTIVE_TIME {
             agent.link_ms.store(0, Ordering::Relaxed);
             continue;
         }
@@ -45,24 +47,25 @@
         let count = peers.len();
         let started = Instant::now();
         let mut probes = Vec::new();
-        for step in 0..PROBES.min(count) {
-            turn += 1;
-            let spread = turn + step * count / PROBES;
+        for step in 0..PARALLEL_PROBES.min(count) {
+            next_peer += 1;
+            let spread = next_peer + step * count / PARALLEL_PROBES;
             let (_, addr) = peers[spread % count];
             probes.push(Box::pin(probe(&agent, addr)));
         }
         if select_ok(probes).await.is_ok() {
-            sample(&agent, started.elapsed());
+            record_delay(&agent, started.elapsed());
         }
     }
 }
 
 async fn probe(agent: &Agent, addr: SocketAddr) -> Result<(), Error> {
-    let answer = agent.client.get(addr, "/ping", MOST_ANSWER, LONGEST);
+    let answer =
+        agent.client.get(addr, "/ping", MAX_ANSWER_BYTES, PROBE_TIMEOUT);
     answer.await.map(|_| ())
 }
 
-fn sample(agent: &Agent, delay: Duration) {
+fn record_delay(agent: &Agent, delay: Duration) {
     let mut share = agent.link_share();
     share.record_delay(delay);
     let ms = delay.as_millis() as u32;
