--- a/crates/loader/src/agent.rs
+++ b/crates/loader/src/agent.rs
@@ -1,4 +1,4 @@
-//! Running an agent.
+//! The state shared by the tasks of an agent, and its startup.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
@@ -22,113 +22,116 @@
 use tokio::net::TcpListener;
 use tokio::sync::{Notify, watch};
 
-use crate::drive::drive;
 use crate::engine::{EngineState, StagedEngine};
 use crate::hall_entries::HallEntries;
-use crate::listeners::Listeners;
 use crate::read_routes::read_routes;
+use crate::reconcile::reconcile;
 use crate::serve::AgentServer;
 use crate::settings::AgentSettings;
+use crate::subscribers::Subscribers;
 use crate::watch_engine::watch_engine;
 use crate::watch_link::watch_link;
 
-/// The largest request that an agent takes, in bytes.
-const MOST_REQUEST: usize = 64 << 10;
+/// The maximum size of a request's head and of its body, in bytes.
+const MAX_REQUEST_BYTES: usize = 64 << 10;
 
-/// The most connections to an agent.
-const MOST_CONNECTIONS: usize = 512;
+/// The maximum number of open connections to an agent.
+const MAX_CONNECTIONS: usize = 512;
 
-/// How long a watch of the versions named waits at the platform. Longer than
-/// the history that the platform keeps, 20 s, and a version would be found by
-/// a list, which tells its naming's time no better than since the last answer:
-/// replicas then leave their version as if its bound were over.
-const WATCH: Duration = Duration::from_millis(10_000);
+/// How long a watch of the target versions waits at the platform. It must be
+/// shorter than the 20 s of history that the platform keeps. Otherwise a
+/// target is found by a list, which only tells that it was set after the last
+/// answer, and replicas stop serving their version as if its time had
+/// expired.
+const TARGET_WATCH_TIMEOUT: Duration = Duration::from_millis(10_000);
 
-/// How long connections to an agent may rest.
-const IDLE: Duration = Duration::from_secs(30);
+/// The maximum time to wait for the head of a request, and for its body.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What the parts of an agent share.
+/// The state shared by the tasks of an agent.
 pub(crate) struct Agent {
-    /// The settings of its start: who it is and whom it serves.
+    /// The settings at startup, which include its identity and addresses.
     pub settings: AgentSettings,
-    /// The settings in force.
+    /// The current settings.
     pub live: LiveSettings<AgentSettings>,
     pub facts: Arc<Facts>,
     pub engine: Arc<dyn StagedEngine>,
     pub directory: Arc<dyn Directory>,
     pub holdings: Arc<Holdings>,
     pub client: Client,
-    /// What it draws chunks with.
-    pub drawing: Drawing,
-    /// What chunks may take of the instance's link.
+    /// The context for fetching chunks.
+    pub fetch_context: Drawing,
+    /// Limits the rate at which chunks are sent over the instance's link.
     pub uplink: Shaper,
-    /// The part of the link that chunks may take now.
+    /// The share of the link that chunks may currently use.
     share: Mutex<LinkShare>,
-    /// The newest routes that an entry has told of.
-    pub told: Mutex<News>,
-    /// Told when the routes may be out of date.
-    routes_doubted: Notify,
-    /// The entries that listen, of any hall.
-    pub listeners: Listeners,
-    /// Those of the own hall, as asked for what is published.
+    /// The newest routes revision reported by an entry, and its holder.
+    pub known_news: Mutex<News>,
+    /// Notified when the routes may be out of date.
+    routes_suspect: Notify,
+    /// The entries of all halls that subscribe to this agent's feed.
+    pub subscribers: Subscribers,
+    /// The entries of the agent's hall, used to read published state.
     pub entries: Arc<HallEntries>,
-    /// How long the newest probe of the link took, in milliseconds.
+    /// The duration of the last link probe, in milliseconds.
     pub link_ms: AtomicU32,
-    /// When a chunk last came or went, in the process's time.
-    moved: AtomicU64,
-    /// How the engine stands; `None` while it does not answer.
+    /// When a chunk was last received or sent, in milliseconds of the
+    /// process's clock.
+    last_transfer_ms: AtomicU64,
+    /// The state of the engine, or `None` while it does not answer.
     pub state: watch::Sender<Option<EngineState>>,
-    /// What entries are told.
+    /// The report sent to entries.
     pub report: watch::Sender<EngineReport>,
-    /// Whether the replica is to get nothing new.
+    /// Whether the replica must not receive new requests.
     paused: AtomicBool,
 }
 
 impl Agent {
     /// Returns the address at which peers know this agent.
     pub(crate) fn addr(&self) -> SocketAddr {
-        self.drawing.addr
+        self.fetch_context.addr
     }
 }
 
 impl Agent {
-    /// Takes note that the origin could not be reached where the routes say
-    /// that it is.
-    pub(crate) fn doubt_origin(&self) {
-        let told = self.news().revision;
-        if told > self.facts.revision() {
-            self.routes_doubted.notify_one();
+    /// Notes that the origin could not be reached at the address given by the
+    /// routes. Requests a new read if newer routes are known to exist.
+    pub(crate) fn report_origin_failure(&self) {
+        let known = self.news().revision;
+        if known > self.facts.revision() {
+            self.routes_suspect.notify_one();
         }
     }
 
-    /// Ends when the origin is doubted to be where the routes say.
-    pub(crate) async fn origin_doubted(&self) {
-        self.routes_doubted.notified().await;
+    /// Waits until the address of the origin in the routes is suspect.
+    pub(crate) async fn origin_suspect(&self) {
+        self.routes_suspect.notified().await;
     }
 
-    /// Returns the newest that this agent knows to be published. Ages of
-    /// versions are added as they are sent.
+    /// Returns the newest published state known to this agent. The ages of
+    /// target versions are added when the news is sent.
     pub(crate) fn news(&self) -> News {
-        let told = self.told.lock().unwrap_or_else(PoisonError::into_inner);
-        told.clone()
+        let known =
+            self.known_news.lock().unwrap_or_else(PoisonError::into_inner);
+        known.clone()
     }
 
-    /// Takes in what an entry tells.
+    /// Applies news from an entry.
     pub(crate) fn take_news(&self, news: &News) {
         self.facts.learn_targets(&news.targets);
-        let mut told =
-            self.told.lock().unwrap_or_else(PoisonError::into_inner);
-        if news.revision <= told.revision {
+        let mut known =
+            self.known_news.lock().unwrap_or_else(PoisonError::into_inner);
+        if news.revision <= known.revision {
             return;
         }
-        told.revision = news.revision;
-        told.holder = news.holder;
-        let news = told.clone();
-        drop(told);
+        known.revision = news.revision;
+        known.holder = news.holder;
+        let news = known.clone();
+        drop(known);
         self.report.send_modify(|report| report.news = Some(news));
     }
 
-    /// Asks the engine how it stands.
+    /// Queries the engine's state.
     ///
     /// # Errors
     ///
@@ -139,49 +142,50 @@
         Ok(state.without_partial_model(layers))
     }
 
-    /// Returns what is published of the engine's kind.
+    /// Returns the published properties of the engine's service.
     pub(crate) fn engine_kind(&self) -> Option<Engine> {
         self.facts.view().engine(&self.settings.service)
     }
 
-    /// Returns the part of the link that chunks may take now.
+    /// Returns the share of the link that chunks may currently use.
     pub(crate) fn link_share(&self) -> MutexGuard<'_, LinkShare> {
         self.share.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes that a chunk came or went.
-    pub(crate) fn note_moved(&self) {
+    /// Records that a chunk was received or sent.
+    pub(crate) fn record_transfer(&self) {
         let now = self.facts.now().as_millis();
-        self.moved.store(now, Ordering::Relaxed);
+        self.last_transfer_ms.store(now, Ordering::Relaxed);
     }
 
-    /// Returns how long no chunk has come or gone.
+    /// Returns the time since a chunk was last received or sent.
     pub(crate) fn idle_for(&self) -> Duration {
-        let moved = self.moved.load(Ordering::Relaxed);
-        self.facts.now().since(Time::from_millis(moved))
+        let last_transfer_ms = self.last_transfer_ms.load(Ordering::Relaxed);
+        self.facts.now().since(Time::from_millis(last_transfer_ms))
     }
 
-    /// Says whether the replica is to get nothing new.
+    /// Sets whether the replica must not receive new requests.
     pub(crate) fn set_paused(&self, paused: bool) {
         if self.paused.swap(paused, Ordering::Relaxed) == paused {
             return;
         }
-        // Entries are told at once, not with the engine's next report.
+        // Notifies entries immediately instead of with the engine's next
+        // report.
         self.report.send_modify(|report| report.loading = paused);
     }
 
-    /// Returns whether the replica is to get nothing new.
+    /// Returns whether the replica must not receive new requests.
     pub(crate) fn is_paused(&self) -> bool {
         self.paused.load(Ordering::Relaxed)
     }
 }
 
-/// Runs an agent until it is told to stop. With a watch it takes changed
-/// settings while it runs.
+/// Runs an agent until shutdown. With a `watch` it applies changed settings
+/// while it runs.
 ///
 /// # Errors
 ///
-/// [`Code::CannotBind`] if its address is taken.
+/// [`Code::CannotBind`] if it cannot listen on its address.
 pub async fn run(
     settings: AgentSettings,
     directory: Arc<dyn Directory>,
@@ -205,12 +209,12 @@
     })?;
     let facts = Arc::new(Facts::new(log.clone(), settings.presumed_age()));
     let client = Client::new();
-    let listeners = Listeners::default();
+    let subscribers = Subscribers::default();
     let state = watch::Sender::new(None);
     let own = SocketAddr::new(settings.engine.ip(), settings.listen.port());
     let entries = Arc::new(HallEntries::new(
         Arc::clone(&facts),
-        listeners.clone(),
+        subscribers.clone(),
         Arc::clone(&settings.hall),
         own,
         client.clone(),
@@ -222,7 +226,7 @@
         Arc::clone(&facts),
         Follow {
             collection: Collection::Targets,
-            wait: WATCH,
+            wait: TARGET_WATCH_TIMEOUT,
             pace: Duration::from_millis(100),
             doubt: Duration::from_millis(4_000),
             burst_pace: Duration::ZERO,
@@ -232,7 +236,7 @@
                 share: Arc::new(Share::new(Arc::clone(&facts))),
                 reader: Arc::clone(&entries) as Arc<dyn HallReader>,
                 bound: settings.version_bound(),
-                watch: Some(WATCH),
+                watch: Some(TARGET_WATCH_TIMEOUT),
             }),
         },
         shutdown.clone(),
@@ -242,7 +246,7 @@
         tokio::spawn(live.clone().follow(watch, log.clone()));
     }
     let uplink = Shaper::new(settings.chunk_rate());
-    let drawing = Drawing {
+    let fetch_context = Drawing {
         facts: Arc::clone(&facts),
         holdings: Arc::default(),
         client,
@@ -256,17 +260,17 @@
         facts,
         engine,
         directory,
-        holdings: Arc::clone(&drawing.holdings),
-        client: drawing.client.clone(),
-        drawing,
+        holdings: Arc::clone(&fetch_context.holdings),
+        client: fetch_context.client.clone(),
+        fetch_context,
         uplink,
         share: Mutex::default(),
-        told: Mutex::default(),
-        routes_doubted: Notify::new(),
-        listeners,
+        known_news: Mutex::default(),
+        routes_suspect: Notify::new(),
+        subscribers,
         entries,
         link_ms: AtomicU32::new(0),
-        moved: AtomicU64::new(0),
+        last_transfer_ms: AtomicU64::new(0),
         state,
         report: watch::Sender::new(EngineReport::default()),
         paused: AtomicBool::new(false),
@@ -274,13 +278,13 @@
     tokio::spawn(watch_engine(Arc::clone(&agent)));
     tokio::spawn(read_routes(Arc::clone(&agent)));
     tokio::spawn(watch_link(Arc::clone(&agent)));
-    tokio::spawn(drive(Arc::clone(&agent)));
+    tokio::spawn(reconcile(Arc::clone(&agent)));
     let limits = Limits {
-        head: MOST_REQUEST,
-        body: MOST_REQUEST,
-        head_time: IDLE,
-        body_time: IDLE,
-        connections: MOST_CONNECTIONS,
+        head: MAX_REQUEST_BYTES,
+        body: MAX_REQUEST_BYTES,
+        head_time: IDLE_TIMEOUT,
+        body_time: IDLE_TIMEOUT,
+        connections: MAX_CONNECTIONS,
         linger: Duration::ZERO,
     };
     let stopping = shutdown.clone();
@@ -298,7 +302,8 @@
             stopping.wait().await;
             let grace_ms = live.get().grace_s * 1000;
             log.write(&Decision::Stop { grace_ms });
-            // Transfers are taken up elsewhere; nobody's answer passes here.
+            // Peers continue interrupted transfers from other sources, and no
+            // answers to callers pass through an agent.
             tokio::time::sleep(Duration::from_millis(grace_ms / 8)).await;
         } => {}
     }
--- a/crates/loader/src/feed.rs
+++ b/crates/loader/src/feed.rs
@@ -1,10 +1,11 @@
-//! Telling entries of the engine beside this agent.
+//! Streams the state of the engine to entries.
 //!
-//! An entry that places requests for the agent's hall gets a line whenever the
-//! engine's state changes. The others choose by themselves only while no
-//! entry places for them, or listen over poor links between halls, so they
-//! hear of mere load less often; whether the replica serves, and what, all
-//! hear at once. An empty line says that nothing has changed.
+//! An entry that places requests for the agent's hall receives a line whenever
+//! the engine's state changes. Other entries choose replicas themselves only
+//! while no entry places requests for them, or are connected by slow links
+//! between halls, so they receive changes of load less often. All entries
+//! receive immediately whether the replica serves and which version. An empty
+//! line is a heartbeat without changes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,35 +26,41 @@
 use tokio::time::Instant;
 
 use crate::agent::Agent;
-use crate::listeners::{Listeners, Listening};
+use crate::subscribers::{Subscribers, Subscription};
 
-/// How often a feed says something though nothing has changed.
-const BEAT: Duration = Duration::from_millis(500);
+/// The interval between heartbeats while nothing changes.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The least span between two lines about load to an entry that does not
+/// The minimum interval between two lines about load to an entry that does not
 /// place requests for the hall.
-const SELDOM_GAP: Duration = Duration::from_millis(400);
+const MIN_LOAD_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Returns the answer that keeps an entry informed.
+/// Returns a streaming response with the feed for an entry.
 pub(crate) fn feed(
     agent: &Agent,
     stopping: &Shutdown,
     request: &Request<Incoming>,
 ) -> Response<Body> {
     let hall = request.headers().get(headers::HALL);
-    let far = hall.is_some_and(|h| h != &*agent.settings.hall);
-    let seldom = far || request.headers().contains_key(headers::SELDOM);
-    let listeners = &agent.listeners;
-    let listening = listener(request).map(|entry| listeners.listen(entry));
+    let remote = hall.is_some_and(|h| h != &*agent.settings.hall);
+    let load_limited =
+        remote || request.headers().contains_key(headers::SELDOM);
+    let subscribers = &agent.subscribers;
+    let subscription =
+        subscriber(request).map(|entry| subscribers.subscribe(entry));
     let state = Feed {
-        hall: (!far).then(|| Arc::clone(&agent.settings.hall)),
-        listeners: listeners.clone(),
-        _listening: listening,
+        hall: (!remote).then(|| Arc::clone(&agent.settings.hall)),
+        subscribers: subscribers.clone(),
+        _subscription: subscription,
         facts: Arc::clone(&agent.facts),
         reports: agent.report.subscribe(),
         stopping: stopping.clone(),
-        gap: if seldom { SELDOM_GAP } else { Duration::ZERO },
-        told: None,
+        min_interval: if load_limited {
+            MIN_LOAD_INTERVAL
+        } else {
+            Duration::ZERO
+        },
+        last_sent: None,
     };
     let items = futures::stream::unfold(state, |mut state| async {
         let line = state.next().await?;
@@ -63,64 +70,72 @@
     Response::new(UnsyncBoxBody::new(body))
 }
 
-/// Returns the entry that listens, if it says where others can ask it.
-fn listener(request: &Request<Incoming>) -> Option<HallEntry> {
+/// Returns the subscribing entry, if the request gives its address and hall.
+fn subscriber(request: &Request<Incoming>) -> Option<HallEntry> {
     let header = |name| request.headers().get(name)?.to_str().ok();
     let addr = header(headers::READER)?.parse().ok()?;
     let hall = Arc::from(header(headers::HALL)?);
     Some(HallEntry { addr, hall })
 }
 
-/// What a line told.
-struct Told {
+/// The content of the last line sent.
+struct SentLine {
     report: EngineReport,
     at: Instant,
-    /// The news, and of the versions named whether their age was known.
+    /// The news; `targets` holds for each target version whether its age was
+    /// known.
     news: Option<News>,
     targets: Vec<(Arc<str>, u64, bool)>,
-    others: Others,
+    others: KnownEntries,
 }
 
-/// The other entries that an entry of the agent's hall is told of.
+/// The other entries that are announced to an entry of the agent's hall.
 #[derive(Clone, Default, PartialEq)]
-struct Others {
+struct KnownEntries {
     entries: Vec<HallEntry>,
     leading: Vec<SocketAddr>,
     listening: usize,
 }
 
-impl Told {
-    /// Returns whether it told the news that another line would tell.
-    fn has_news_of(&self, other: &Told) -> bool {
+impl SentLine {
+    /// Returns whether it has the same news as `other`.
+    fn has_same_news(&self, other: &SentLine) -> bool {
         self.news == other.news && self.targets == other.targets
     }
 }
 
 struct Feed {
-    /// The agent's hall, for an entry of it.
+    /// The agent's hall if the subscribing entry is in it, else `None`.
     hall: Option<Arc<str>>,
-    listeners: Listeners,
-    _listening: Option<Listening>,
+    subscribers: Subscribers,
+    _subscription: Option<Subscription>,
     facts: Arc<Facts>,
     reports: watch::Receiver<EngineReport>,
     stopping: Shutdown,
-    gap: Duration,
-    told: Option<Told>,
+    min_interval: Duration,
+    last_sent: Option<SentLine>,
 }
 
 impl Feed {
-    /// Returns the next line, or `None` once the agent stops.
+    /// Returns the next line, or `None` if the agent is stopping.
     async fn next(&mut self) -> Option<Bytes> {
-        if let Some(told) = &mut self.told {
+        if let Some(last_sent) = &mut self.last_sent {
             tokio::select! {
-                changed = changed(&mut self.reports, told, self.gap) => {
+                changed = changed(
+                    &mut self.reports,
+                    last_sent,
+                    self.min_interval,
+                ) => {
                     changed?;
                 }
-                () = tokio::time::sleep_until(told.at + BEAT) => {
-                    let same = told.targets == targets(&self.facts)
-                        && told.others == others(self.hall.as_deref(), &self.listeners);
+                () = tokio::time::sleep_until(
+                    last_sent.at + HEARTBEAT_INTERVAL
+                ) => {
+                    let same = last_sent.targets == targets(&self.facts)
+                        && last_sent.others
+                            == others(self.hall.as_deref(), &self.subscribers);
                     if same {
-                        told.at = Instant::now();
+                        last_sent.at = Instant::now();
                         return Some(Bytes::from_static(b"\n"));
                     }
                 }
@@ -128,40 +143,43 @@
             }
         }
         let mut report = self.reports.borrow_and_update().clone();
-        let others = others(self.hall.as_deref(), &self.listeners);
-        let now = Told {
+        let others = others(self.hall.as_deref(), &self.subscribers);
+        let current = SentLine {
             news: report.news.clone(),
             report: report.clone(),
             at: Instant::now(),
             targets: targets(&self.facts),
             others,
         };
-        let told = self.told.as_ref();
-        // What seldom changes is told only then: most lines are about load.
-        let same = told.is_some_and(|told| told.others == now.others);
-        report.entries = (!same).then(|| now.others.entries.clone());
-        report.leading = (!same).then(|| now.others.leading.clone());
-        report.listening = (!same).then_some(now.others.listening);
-        let same = told.is_some_and(|told| told.has_news_of(&now));
+        let last_sent = self.last_sent.as_ref();
+        // Fields that rarely change are sent only on a change, since most
+        // lines are about load.
+        let same = last_sent
+            .is_some_and(|last_sent| last_sent.others == current.others);
+        report.entries = (!same).then(|| current.others.entries.clone());
+        report.leading = (!same).then(|| current.others.leading.clone());
+        report.listening = (!same).then_some(current.others.listening);
+        let same = last_sent
+            .is_some_and(|last_sent| last_sent.has_same_news(&current));
         report.news = (!same).then(|| News {
             targets: self.facts.target_ages(),
-            ..now.news.clone().unwrap_or_default()
+            ..current.news.clone().unwrap_or_default()
         });
-        self.told = Some(now);
+        self.last_sent = Some(current);
         let mut line = serde_json::to_vec(&report).ok()?;
         line.push(b'\n');
         Some(Bytes::from(line))
     }
 }
 
-/// Returns the entries that one of the agent's `hall` is told of; those of
-/// other halls hear of none.
-fn others(hall: Option<&str>, listeners: &Listeners) -> Others {
-    let Some(hall) = hall else { return Others::default() };
-    Others {
-        entries: listeners.first(),
-        leading: listeners.leading(hall),
-        listening: listeners.count(hall),
+/// Returns the entries to announce to an entry of the agent's `hall`. None are
+/// announced to entries of other halls, for which `hall` is `None`.
+fn others(hall: Option<&str>, subscribers: &Subscribers) -> KnownEntries {
+    let Some(hall) = hall else { return KnownEntries::default() };
+    KnownEntries {
+        entries: subscribers.first_ranked(),
+        leading: subscribers.leading(hall),
+        listening: subscribers.count(hall),
     }
 }
 
@@ -170,17 +188,18 @@
     ages.map(|t| (t.model, t.version, t.age_ms.is_some())).collect()
 }
 
-/// Waits for a change that is worth a line, or `None` if there will be none.
+/// Waits for a change that should be sent. Returns `None` if no more reports
+/// follow.
 async fn changed(
     reports: &mut watch::Receiver<EngineReport>,
-    told: &Told,
-    gap: Duration,
+    last_sent: &SentLine,
+    min_interval: Duration,
 ) -> Option<()> {
     reports.changed().await.ok()?;
-    let due = told.at + gap;
-    let other = |report: &EngineReport| !report.serves_as(&told.report);
-    // Whether and what the engine serves is told at once.
-    let turned = reports.wait_for(other);
-    let _ = tokio::time::timeout_at(due, turned).await;
+    let due = last_sent.at + min_interval;
+    let other = |report: &EngineReport| !report.serves_as(&last_sent.report);
+    // A change of whether and what the engine serves ends the wait early.
+    let serving_changed = reports.wait_for(other);
+    let _ = tokio::time::timeout_at(due, serving_changed).await;
     Some(())
 }
--- a/crates/loader/src/fetch_owner.rs
+++ b/crates/loader/src/fetch_owner.rs
@@ -1,4 +1,4 @@
-//! An agent as one that draws chunks.
+//! The agent's implementation of [`ChunkOwner`].
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -13,12 +13,12 @@
 use crate::peer_list::{Relist, peers};
 use crate::staging::stage;
 
-/// How much sooner than it can be sent a chunk is asked of the origin, as a
-/// part of the time that it takes there. A little ahead, so that the origin's
-/// link is never idle: it may go down soon after a version is named.
-const ORIGIN_AHEAD: f64 = 0.7;
+/// The interval between requests to the origin, as a fraction of the transfer
+/// time of a chunk on its link. It is less than 1 so that the link is never
+/// idle: the origin may go down soon after a version becomes the target.
+const ORIGIN_INTERVAL_FRACTION: f64 = 0.7;
 
-/// One fetch of an agent.
+/// The owner of one fetch of an agent.
 pub(crate) struct FetchOwner {
     agent: Arc<Agent>,
     pace: Option<FetchPace>,
@@ -26,12 +26,12 @@
 }
 
 impl FetchOwner {
-    /// Returns the owner of a fetch that is as fast as the link bears.
+    /// Returns the owner of a fetch that is as fast as the link allows.
     pub(crate) fn new(agent: Arc<Agent>) -> FetchOwner {
         FetchOwner { agent, pace: None, relist: Mutex::default() }
     }
 
-    /// Spreads the fetch from now on.
+    /// Sets the pace of the fetch, or no limit for `None`.
     pub(crate) fn set_pace(&mut self, pace: Option<FetchPace>) {
         self.pace = pace;
     }
@@ -52,7 +52,7 @@
 
     fn origin_pace(&self, chunk_bytes: u32) -> Duration {
         let transfer = self.agent.live.get().transfer(chunk_bytes);
-        transfer.mul_f64(ORIGIN_AHEAD)
+        transfer.mul_f64(ORIGIN_INTERVAL_FRACTION)
     }
 
     fn questions(&self, most: usize) -> usize {
@@ -75,11 +75,11 @@
     }
 
     fn moved(&self, _: &Source) {
-        self.agent.note_moved();
+        self.agent.record_transfer();
     }
 
     fn origin_failed(&self) {
-        self.agent.doubt_origin();
+        self.agent.report_origin_failure();
     }
 
     fn relist(&self) {
@@ -93,11 +93,11 @@
     }
 }
 
-/// Returns the entries of the hall that hold chunks for its agents.
+/// Returns the entries of the hall that cache chunks for its agents.
 pub(crate) fn caches(agent: &Agent) -> Vec<SocketAddr> {
     let hall = &agent.settings.hall;
     let mut caches = Vec::new();
-    for entry in agent.listeners.first() {
+    for entry in agent.subscribers.first_ranked() {
         if entry.hall == *hall {
             caches.push(entry.addr);
         }
--- a/crates/loader/src/hall_entries.rs
+++ b/crates/loader/src/hall_entries.rs
@@ -1,8 +1,9 @@
-//! Learning from entries of the hall what is published.
+//! Reads published state from entries of the hall.
 //!
-//! Entries follow the platform anyway, and each call there has a price that
-//! grows with the number of callers. So an agent asks an entry that listens
-//! to it, and the platform only while none has told it anything for a while.
+//! Entries follow the platform anyway, and the cost of calls to the platform
+//! grows with the number of callers. So an agent asks an entry that subscribes
+//! to its feed, and asks the platform only if no entry has answered for
+//! [`PLATFORM_HOLD_OFF`].
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -22,53 +23,53 @@
 use tokio::sync::watch;
 
 use crate::engine::EngineState;
-use crate::entry_turn::EntryTurn;
-use crate::listeners::Listeners;
+use crate::entry_rotation::EntryRotation;
+use crate::subscribers::Subscribers;
 
-/// How long an agent leaves the platform to entries after one has told it
-/// something. At the platform's first start the time counts from when its
-/// engine is up, since entries find it by the engine's record in the list.
-const HOLD: Duration = Duration::from_millis(1_500);
+/// How long an agent does not ask the platform after an answer from an entry.
+/// At the platform's first start the time counts from when the engine is up,
+/// since entries find the agent by the engine's record in the list.
+const PLATFORM_HOLD_OFF: Duration = Duration::from_millis(1_500);
 
-/// How long after its start an agent waits for its engine to come up.
-const ENGINE: Duration = Duration::from_secs(6);
+/// The maximum time after its start that an agent waits for its engine.
+const ENGINE_START_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// How long an agent waits for an entry that begins to listen.
-const LOOK: Duration = Duration::from_millis(150);
+/// How long an agent waits for an entry to subscribe.
+const SUBSCRIBE_WAIT: Duration = Duration::from_millis(150);
 
-/// The pause before entries are asked again beside a call to the platform.
-const ASK_AGAIN: Duration = Duration::from_millis(1_000);
+/// The interval at which entries are asked during a call to the platform.
+const ASK_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// An entry that has not answered for so long counts as silent.
-const SILENCE: Duration = Duration::from_millis(1_000);
+/// The minimum time without an answer after which an entry counts as silent.
+const MIN_SILENCE: Duration = Duration::from_millis(1_000);
 
-/// How old a list of replicas may be.
-const LIST_AGE: Duration = Duration::from_secs(5);
+/// The maximum age of a list of replicas.
+const MAX_LIST_AGE: Duration = Duration::from_secs(5);
 
-/// The entries of the hall that listen to an agent.
+/// The entries of the hall that subscribe to an agent's feed.
 pub(crate) struct HallEntries {
     facts: Arc<Facts>,
-    listeners: Listeners,
+    subscribers: Subscribers,
     hall: Arc<str>,
     own: SocketAddr,
     client: Client,
-    turn: Mutex<EntryTurn>,
-    began: Instant,
+    rotation: Mutex<EntryRotation>,
+    started: Instant,
     engine: watch::Receiver<Option<EngineState>>,
-    /// Whether the whole platform starts for the first time.
+    /// Whether the whole platform is starting for the first time.
     first_start: bool,
-    /// When an entry last told something; at the platform's first start, when
-    /// the engine was not yet up.
-    heard: Mutex<Option<Instant>>,
-    /// The platform's revision of the list of replicas; 0 without one.
-    listed_at: AtomicU64,
+    /// When an entry last answered. At the platform's first start, also the
+    /// last time that the engine was seen not to be up yet.
+    last_answer: Mutex<Option<Instant>>,
+    /// The platform's revision of the known list of replicas, or 0.
+    list_revision: AtomicU64,
 }
 
 impl HallEntries {
-    /// Returns the entries of `hall` that listen to the agent at `own`.
+    /// Returns the entries of `hall` that subscribe to the agent at `own`.
     pub(crate) fn new(
         facts: Arc<Facts>,
-        listeners: Listeners,
+        subscribers: Subscribers,
         hall: Arc<str>,
         own: SocketAddr,
         client: Client,
@@ -77,70 +78,73 @@
     ) -> HallEntries {
         HallEntries {
             facts,
-            listeners,
+            subscribers,
             hall,
             own,
             client,
-            turn: Mutex::default(),
-            began: Instant::now(),
+            rotation: Mutex::default(),
+            started: Instant::now(),
             engine,
             first_start,
-            heard: Mutex::default(),
-            listed_at: AtomicU64::new(0),
+            last_answer: Mutex::default(),
+            list_revision: AtomicU64::new(0),
         }
     }
 
-    /// Returns whether the platform is left to entries: one has told something
-    /// of late, or none can have found this agent yet.
-    pub(crate) fn may_tell(&self) -> bool {
+    /// Returns whether to rely on entries instead of the platform: an entry
+    /// has answered recently, or no entry can have found this agent yet.
+    pub(crate) fn relies_on_entries(&self) -> bool {
         let up = self.engine.borrow().is_some();
-        let mut heard = self.heard();
-        if self.first_start && !up && self.began.elapsed() < ENGINE {
-            *heard = Some(Instant::now());
+        let mut last_answer = self.last_answer();
+        if self.first_start
+            && !up
+            && self.started.elapsed() < ENGINE_START_TIMEOUT
+        {
+            *last_answer = Some(Instant::now());
         }
-        heard.is_some_and(|at| at.elapsed() < HOLD)
+        last_answer.is_some_and(|at| at.elapsed() < PLATFORM_HOLD_OFF)
     }
 
-    fn next(&self) -> Option<SocketAddr> {
-        let near = self.listeners.of_hall(&self.hall);
-        self.turn().entry(self.own, near)
+    fn next_entry(&self) -> Option<SocketAddr> {
+        let entries = self.subscribers.of_hall(&self.hall);
+        self.rotation().entry(self.own, entries)
     }
 
-    /// Asks the entry whose turn it is.
-    async fn hear(
+    /// Asks the currently selected entry.
+    async fn ask_next(
         &self,
         question: &SharedQuestion,
     ) -> Result<ReaderAnswer, Error> {
         let none =
-            || Error::new(Code::PeerLost, "no entry of the hall listens");
-        let entry = self.next().ok_or_else(none)?;
+            || Error::new(Code::PeerLost, "no entry of the hall subscribes");
+        let entry = self.next_entry().ok_or_else(none)?;
         let asked = Instant::now();
-        let patience = Duration::from_millis(question.wait_ms).max(SILENCE);
+        let timeout = Duration::from_millis(question.wait_ms).max(MIN_SILENCE);
         match ask_published(&self.client, entry, question).await {
             Ok(shared) => {
-                self.turn().heard();
-                *self.heard() = Some(Instant::now());
+                self.rotation().succeeded();
+                *self.last_answer() = Some(Instant::now());
                 Ok(ReaderAnswer { entry, shared })
             }
             Err(unheard) => {
-                // One with old news is passed over like a silent one.
+                // An entry with stale data is skipped like a silent one.
                 let took = match &unheard {
                     Unheard::Lost(_) => asked.elapsed(),
-                    Unheard::Old(_) => patience,
+                    Unheard::Old(_) => timeout,
                 };
-                self.turn().failed(took, patience);
+                self.rotation().failed(took, timeout);
                 Err(unheard.error().clone())
             }
         }
     }
 
-    /// Brings the list of replicas up to date by what an entry knows.
+    /// Updates the list of replicas from an entry.
     ///
     /// # Errors
     ///
-    /// [`Code::PeerLost`] if no entry tells it.
+    /// [`Code::PeerLost`] if no entry provides it.
     pub(crate) async fn list_replicas(&self) -> Result<(), Error> {
-        let known = self.listed_at.load(Ordering::Relaxed);
+        let known = self.list_revision.load(Ordering::Relaxed);
         let question = SharedQuestion {
             collection: Collection::Replicas,
             after: (known > 0).then_some(known),
@@ -148,14 +152,14 @@
             targets: 0,
             evacuated: Vec::new(),
             wait_ms: 0,
-            most_age_ms: LIST_AGE.as_millis() as u64,
+            most_age_ms: MAX_LIST_AGE.as_millis() as u64,
             for_itself: true,
         };
-        let shared = self.hear(&question).await?.shared;
+        let shared = self.ask_next(&question).await?.shared;
         let Some(replicas) = shared.replicas else {
             return Err(Error::new(
                 Code::PeerLost,
-                "an answer without a list",
+                "the entry's answer has no list of replicas",
             ));
         };
         if replicas.whole {
@@ -169,21 +173,22 @@
                 self.facts.apply(change, source, true, None);
             }
         }
-        self.listed_at.store(shared.at, Ordering::Relaxed);
+        self.list_revision.store(shared.at, Ordering::Relaxed);
         Ok(())
     }
 
-    /// Forgets which list is known: another one was read meanwhile.
+    /// Clears the revision of the known list, after a list was read from
+    /// another source.
     pub(crate) fn forget_list(&self) {
-        self.listed_at.store(0, Ordering::Relaxed);
+        self.list_revision.store(0, Ordering::Relaxed);
     }
 
-    fn heard(&self) -> MutexGuard<'_, Option<Instant>> {
-        self.heard.lock().unwrap_or_else(PoisonError::into_inner)
+    fn last_answer(&self) -> MutexGuard<'_, Option<Instant>> {
+        self.last_answer.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn turn(&self) -> MutexGuard<'_, EntryTurn> {
-        self.turn.lock().unwrap_or_else(PoisonError::into_inner)
+    fn rotation(&self) -> MutexGuard<'_, EntryRotation> {
+        self.rotation.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -191,16 +196,16 @@
     fn ask(&self, mut question: SharedQuestion) -> BoxFuture<'_, HallNews> {
         question.for_itself = true;
         Box::pin(async move {
-            if self.next().is_some() {
-                match self.hear(&question).await {
+            if self.next_entry().is_some() {
+                match self.ask_next(&question).await {
                     Ok(answer) => return HallNews::Told(answer),
                     Err(error) => log_failure(&self.facts, "entry", &error),
                 }
-            } else if self.may_tell() {
-                let entry = self.listeners.joined();
-                let _ = tokio::time::timeout(LOOK, entry).await;
+            } else if self.relies_on_entries() {
+                let entry = self.subscribers.wait_for_join();
+                let _ = tokio::time::timeout(SUBSCRIBE_WAIT, entry).await;
             }
-            if self.may_tell() {
+            if self.relies_on_entries() {
                 return HallNews::Awaited;
             }
             HallNews::Nobody
@@ -214,8 +219,8 @@
         question.for_itself = true;
         Box::pin(async move {
             loop {
-                tokio::time::sleep(ASK_AGAIN).await;
-                if let Ok(answer) = self.hear(&question).await {
+                tokio::time::sleep(ASK_INTERVAL).await;
+                if let Ok(answer) = self.ask_next(&question).await {
                     return answer;
                 }
             }
@@ -223,7 +228,7 @@
     }
 
     fn is_alone(&self) -> bool {
-        self.next().is_none()
+        self.next_entry().is_none()
     }
 
     fn leads(&self) -> bool {
--- a/crates/loader/src/lib.rs
+++ b/crates/loader/src/lib.rs
@@ -1,27 +1,29 @@
-//! The agent of an engine that takes staged chunks and load orders.
+//! The agent of an engine that accepts staged chunks and load orders.
 //!
-//! It stands beside one engine and not in any request's way. It draws the
-//! chunks of the version wanted ([`stairhinge_chunks`]), stages them at the
-//! engine ([`fetch_owner`]), sends them on to peers ([`serve`]), and orders
-//! the load when its turn comes ([`drive`]). What it knows of the engine goes
-//! to the entries as a feed ([`watch_engine`], [`feed`]).
+//! An agent runs beside one engine and is not on the path of requests. It
+//! fetches the chunks of the target version ([`stairhinge_chunks`]), stages
+//! them at the engine ([`fetch_owner`]), serves them to peers ([`serve`]), and
+//! orders the load when the replica's turn in the rollout comes
+//! ([`reconcile`]).
+//! It streams the engine's state to the entries ([`watch_engine`],
+//! [`feed`]).
 
 mod agent;
-mod drive;
 mod engine;
-mod entry_turn;
+mod entry_rotation;
 mod feed;
 mod fetch_owner;
 mod first_report;
 mod hall_entries;
-mod listeners;
 mod peer_list;
 mod read_routes;
+mod reconcile;
 mod serve;
 mod settings;
 mod staging;
-mod succession;
+mod subscribers;
 mod turn;
+mod version_selection;
 mod watch_engine;
 mod watch_link;
 
--- a/crates/loader/src/read_routes.rs
+++ b/crates/loader/src/read_routes.rs
@@ -1,9 +1,11 @@
-//! Reading the routes: an agent needs the kind of its engine and the origin.
+//! Reads the routes, from which an agent needs the properties of its engine
+//! and the address of the origin.
 //!
-//! Both hardly change, and routes change often and are large: where all
-//! agents read them from the platform at a time, links between halls are full
-//! for seconds. They are read from there at the start only, and afterwards
-//! from an entry of the own hall, which has them packed.
+//! Both rarely change, while routes change often and are large. If all agents
+//! read them from the platform at the same time, links between halls are
+//! saturated for seconds. So routes are read from the platform only at the
+//! start or if an entry fails, and otherwise from an entry of the agent's
+//! hall, which sends them compressed.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,106 +19,118 @@
 use stairhinge_shell::directory::{Collection, Freshness, Source};
 
 use crate::agent::Agent;
-use crate::entry_turn::EntryTurn;
+use crate::entry_rotation::EntryRotation;
 use crate::peer_list::Relist;
 
-/// How often the routes are read while nothing is wrong with them.
-const EVERY: Duration = Duration::from_secs(60);
+/// The interval between checks for newer routes.
+const CHECK_INTERVAL: Duration = Duration::from_secs(60);
 
-/// How often entries are asked that have no routes themselves yet.
-const LOOK: Duration = Duration::from_millis(150);
+/// The interval at which entries without routes are asked again at the start.
+const ENTRY_RETRY_INTERVAL: Duration = Duration::from_millis(150);
 
-/// The least span between two readings of routes that are in doubt.
-const DOUBTED: Duration = Duration::from_secs(4);
+/// The minimum interval between two checks after failures of the origin.
+const MIN_CHECK_INTERVAL: Duration = Duration::from_secs(4);
 
-/// The first pause before the routes are read again after a failure; each
-/// next one is twice as long. Where all processes start at once, what they
-/// read fills links for seconds, and reading again at once keeps them full.
-const AGAIN: Duration = Duration::from_millis(400);
+/// The first delay before the routes are read again after a failure, which
+/// doubles with each further failure. If all processes start at the same time,
+/// their reads saturate links for seconds, and immediate retries would keep
+/// them saturated.
+const FIRST_RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// The longest pause.
-const LONGEST: Duration = Duration::from_millis(6_400);
+/// The maximum delay before the routes are read again after a failure.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(6_400);
 
-/// How long an entry may take to hand the routes over.
-const WITHIN: Duration = Duration::from_millis(2_000);
+/// The maximum time that an entry may take to send the routes.
+const ENTRY_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Reads the routes at the start, and later now and then; sooner if the
-/// origin cannot be reached and there are newer ones, in which it may stand
-/// elsewhere.
+/// Reads the routes at the start and then periodically. If the origin cannot
+/// be reached and newer routes exist, it reads them sooner, since they may
+/// contain a new address of the origin.
 pub(crate) async fn read_routes(agent: Arc<Agent>) {
-    let mut turn = EntryTurn::default();
-    if !ask_entries(&agent, &mut turn).await {
-        read_first(&agent, &mut turn).await;
+    let mut rotation = EntryRotation::default();
+    if !ask_entries(&agent, &mut rotation).await {
+        read_first(&agent, &mut rotation).await;
     }
     loop {
-        tokio::time::sleep(DOUBTED).await;
-        let rest = EVERY.saturating_sub(DOUBTED);
-        let _ = tokio::time::timeout(rest, agent.origin_doubted()).await;
-        if let Err(error) = newer(&agent, &mut turn).await {
+        tokio::time::sleep(MIN_CHECK_INTERVAL).await;
+        let rest = CHECK_INTERVAL.saturating_sub(MIN_CHECK_INTERVAL);
+        let _ = tokio::time::timeout(rest, agent.origin_suspect()).await;
+        if let Err(error) = read_newer(&agent, &mut rotation).await {
             log_failure(&agent.facts, "routes", &error);
         }
     }
 }
 
-/// Returns the entry of the hall whose turn it is.
-fn next_entry(agent: &Agent, turn: &EntryTurn) -> Option<SocketAddr> {
-    let near = agent.listeners.of_hall(&agent.settings.hall);
-    turn.entry(agent.addr(), near)
+/// Returns the entry of the hall to ask next.
+fn next_entry(agent: &Agent, rotation: &EntryRotation) -> Option<SocketAddr> {
+    let entries = agent.subscribers.of_hall(&agent.settings.hall);
+    rotation.entry(agent.addr(), entries)
 }
 
-/// Asks entries for the first routes, and returns whether one had them.
-async fn ask_entries(agent: &Arc<Agent>, turn: &mut EntryTurn) -> bool {
+/// Asks entries for the first routes, and returns whether one sent them.
+async fn ask_entries(
+    agent: &Arc<Agent>,
+    rotation: &mut EntryRotation,
+) -> bool {
     let delay = FirstReadDelay::new(rand::rng().random());
-    let begun = Instant::now();
-    // The list is small, and it says how many read the routes.
+    let started = Instant::now();
+    // The list is small, and its length tells how many agents read the
+    // routes.
     let mut relist = Relist::default();
     relist.start(agent);
     let listed = || agent.facts.view().replicas.len();
-    while agent.entries.may_tell()
-        || begun.elapsed() < delay.for_agent(listed())
+    while agent.entries.relies_on_entries()
+        || started.elapsed() < delay.for_agent(listed())
     {
-        if next_entry(agent, turn).is_some() {
-            match from_entry(agent, turn).await {
+        if next_entry(agent, rotation).is_some() {
+            match from_entry(agent, rotation).await {
                 Ok(()) => return true,
                 Err(error) => log_failure(&agent.facts, "entry", &error),
             }
         }
-        let entry = agent.listeners.joined();
-        let _ = tokio::time::timeout(LOOK, entry).await;
+        let entry = agent.subscribers.wait_for_join();
+        let _ = tokio::time::timeout(ENTRY_RETRY_INTERVAL, entry).await;
     }
     false
 }
 
-/// Reads the first routes from whoever has them.
-async fn read_first(agent: &Agent, turn: &mut EntryTurn) {
-    let mut pause = AGAIN;
-    while let Err(error) = first(agent, turn).await {
+/// Reads the first routes from an entry or the platform, with retries.
+async fn read_first(agent: &Agent, rotation: &mut EntryRotation) {
+    let mut delay = FIRST_RETRY_DELAY;
+    while let Err(error) = try_read_first(agent, rotation).await {
         log_failure(&agent.facts, "routes", &error);
-        let entry = agent.listeners.joined();
-        let _ = tokio::time::timeout(pause, entry).await;
-        pause = (pause * 2).min(LONGEST);
+        let entry = agent.subscribers.wait_for_join();
+        let _ = tokio::time::timeout(delay, entry).await;
+        delay = (delay * 2).min(MAX_RETRY_DELAY);
     }
 }
 
-/// Reads the first routes, from an entry if one listens already.
-async fn first(agent: &Agent, turn: &mut EntryTurn) -> Result<(), Error> {
-    if next_entry(agent, turn).is_some() && !turn.asks_platform() {
-        from_entry(agent, turn).await?;
+/// Reads the first routes once, from an entry if one subscribes already.
+async fn try_read_first(
+    agent: &Agent,
+    rotation: &mut EntryRotation,
+) -> Result<(), Error> {
+    if next_entry(agent, rotation).is_some() && !rotation.take_platform_turn()
+    {
+        from_entry(agent, rotation).await?;
     } else {
         from_platform(agent, Freshness::Current).await?;
     }
     if agent.facts.view().routes.is_some() {
         return Ok(());
     }
-    Err(Error::new(Code::NoRoutes, "none are published"))
+    Err(Error::new(Code::NoRoutes, "no routes are published"))
 }
 
-/// Reads newer routes, if an entry has told of some.
-async fn newer(agent: &Agent, turn: &mut EntryTurn) -> Result<(), Error> {
+/// Reads newer routes if an entry has reported any.
+async fn read_newer(
+    agent: &Agent,
+    rotation: &mut EntryRotation,
+) -> Result<(), Error> {
     if agent.news().revision <= agent.facts.revision() {
         return Ok(());
     }
-    match from_entry(agent, turn).await {
+    match from_entry(agent, rotation).await {
         Ok(()) => Ok(()),
         Err(error) => {
             log_failure(&agent.facts, "routes of an entry", &error);
@@ -129,25 +143,29 @@
     agent: &Agent,
     freshness: Freshness,
 ) -> Result<(), Error> {
-    let called = Instant::now();
+    let started = Instant::now();
     let read = agent.directory.list(Collection::Routes, freshness);
     let records = read.await?.records;
-    let source = Source::platform("list", called.elapsed(), records.len());
+    let source = Source::platform("list", started.elapsed(), records.len());
     for record in records {
         agent.facts.learn(record?, source, None);
     }
     Ok(())
 }
 
-/// Reads the routes of the entry whose turn it is.
-async fn from_entry(agent: &Agent, turn: &mut EntryTurn) -> Result<(), Error> {
-    let none = || Error::new(Code::PeerLost, "no entry of the hall listens");
-    let entry = next_entry(agent, turn).ok_or_else(none)?;
-    let called = Instant::now();
-    let read = read_entry(agent, entry, called).await;
+/// Reads the routes from the entry to ask next.
+async fn from_entry(
+    agent: &Agent,
+    rotation: &mut EntryRotation,
+) -> Result<(), Error> {
+    let none =
+        || Error::new(Code::PeerLost, "no entry of the hall subscribes");
+    let entry = next_entry(agent, rotation).ok_or_else(none)?;
+    let started = Instant::now();
+    let read = read_entry(agent, entry, started).await;
     match &read {
-        Ok(()) => turn.heard(),
-        Err(_) => turn.failed(called.elapsed(), WITHIN),
+        Ok(()) => rotation.succeeded(),
+        Err(_) => rotation.failed(started.elapsed(), ENTRY_TIMEOUT),
     }
     read
 }
@@ -155,11 +173,11 @@
 async fn read_entry(
     agent: &Agent,
     entry: SocketAddr,
-    called: Instant,
+    started: Instant,
 ) -> Result<(), Error> {
-    let document = fetch_routes(&agent.client, entry, WITHIN).await?;
+    let document = fetch_routes(&agent.client, entry, ENTRY_TIMEOUT).await?;
     let record = agent.directory.parse_routes(document)?;
-    let source = Source::entry("entry", entry, called.elapsed());
+    let source = Source::entry("entry", entry, started.elapsed());
     agent.facts.learn(record, source, None);
     Ok(())
 }
--- a/crates/loader/src/drive.rs
+++ b/crates/loader/src/reconcile.rs
@@ -1,4 +1,4 @@
-//! Bringing the engine to the version wanted.
+//! Reconciles the engine with the target version.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -16,35 +16,37 @@
 use crate::fetch_owner::FetchOwner;
 use crate::first_report::first_report;
 use crate::peer_list::{list_peers, peers};
-use crate::staging::{share_staged, take_staged, verify_staged};
-use crate::succession::{Wanted, is_open, weigh};
+use crate::staging::{reuse_staged, share_staged, verify_staged};
 use crate::turn::Turn;
+use crate::version_selection::{ModelVersion, has_choice, select_version};
 
-/// How long to wait before looking again.
-const PAUSE: Duration = Duration::from_millis(100);
+/// The delay before a failed or unfinished step is tried again.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// How long an agent that has just started waits to hear which versions are
-/// named, and how often it looks.
-const TARGETS: Duration = Duration::from_millis(1_000);
-const LOOK: Duration = Duration::from_millis(20);
+/// How long an agent waits after its start to learn the target versions, and
+/// how often it checks.
+const TARGETS_TIMEOUT: Duration = Duration::from_millis(1_000);
+const TARGETS_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How often peers are asked for the ages of versions after a start.
-const AGE_ROUNDS: u32 = 30;
+/// The maximum number of times that peers are asked for the ages of target
+/// versions after a start.
+const MAX_AGE_QUERIES: u32 = 30;
 
-/// How often versions are weighed against each other while there is a choice.
-const WEIGH: Duration = Duration::from_millis(250);
+/// The interval at which the choice of a version is reconsidered while there
+/// are several candidates.
+const CHOICE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How long a load may take before it is looked into.
-const LOAD_LIMIT: Duration = Duration::from_secs(8);
+/// The maximum duration of a load, after which it counts as failed.
+const LOAD_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// How long chunks stay in memory for peers after a load.
-const SHARE: Duration = Duration::from_secs(6);
+const SHARE_AFTER_LOAD: Duration = Duration::from_secs(6);
 
-/// Keeps the engine at the version wanted.
-pub(crate) async fn drive(agent: Arc<Agent>) {
+/// Keeps the engine at the target version.
+pub(crate) async fn reconcile(agent: Arc<Agent>) {
     let mut changes = agent.facts.changes();
     let mut state = agent.state.subscribe();
-    // Without routes the list of replicas is of no use yet.
+    // The list of replicas cannot be used without routes.
     while agent.facts.view().routes.is_none() {
         if changes.changed().await.is_err() {
             return;
@@ -53,24 +55,26 @@
     await_targets(&agent).await;
     list_peers(&agent).await;
     tokio::spawn(learn_ages(Arc::clone(&agent)));
-    let mut shared: Option<Wanted> = None;
+    let mut shared: Option<ModelVersion> = None;
     loop {
-        let Some(newest) = wanted(&agent) else {
+        let Some(newest) = target_version(&agent) else {
             list_peers(&agent).await;
-            let waited = tokio::time::timeout(PAUSE * 5, changes.changed());
-            let _ = waited.await;
+            let change_or_timeout =
+                tokio::time::timeout(RETRY_DELAY * 5, changes.changed());
+            let _ = change_or_timeout.await;
             continue;
         };
         let engine = agent.state.borrow().clone();
         let Some(engine) = engine else {
-            // What it holds is not known, and nothing can be staged.
+            // The engine does not answer: its version is unknown, and chunks
+            // cannot be staged.
             tokio::select! {
                 _ = changes.changed() => {}
                 _ = state.changed() => {}
             }
             continue;
         };
-        let wanted = weigh(&agent, newest).await;
+        let wanted = select_version(&agent, newest).await;
         if serves(&engine, &wanted) {
             if shared.as_ref() != Some(&wanted) {
                 share_staged(&agent, &wanted).await;
@@ -83,33 +87,35 @@
             continue;
         }
         shared = None;
-        let done = tokio::select! {
-            done = change(&agent, &wanted) => done,
-            () = another(&agent, &wanted) => Ok(()),
+        let result = tokio::select! {
+            result = switch_version(&agent, &wanted) => result,
+            () = selection_changed(&agent, &wanted) => Ok(()),
         };
         agent.set_paused(false);
-        if let Err(error) = done {
+        if let Err(error) = result {
             log_failure(&agent.facts, "change", &error);
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 }
 
-/// Waits until it is known which versions are named: without that the engine
-/// would be given what was in force before.
+/// Waits until the target versions are known, up to [`TARGETS_TIMEOUT`].
+/// Without them the engine would load the previous version.
 async fn await_targets(agent: &Agent) {
-    let begun = Instant::now();
-    while !agent.facts.knows_declarations() && begun.elapsed() < TARGETS {
-        tokio::time::sleep(LOOK).await;
+    let started = Instant::now();
+    while !agent.facts.knows_declarations()
+        && started.elapsed() < TARGETS_TIMEOUT
+    {
+        tokio::time::sleep(TARGETS_POLL_INTERVAL).await;
     }
 }
 
-/// Asks peers how old the versions are that were named before this process
-/// began; until one says it they are presumed to be old.
+/// Asks peers for the ages of versions that were targeted before this process
+/// started. Until a peer answers, such versions are presumed to be old.
 async fn learn_ages(agent: Arc<Agent>) {
-    for _ in 0..AGE_ROUNDS {
+    for _ in 0..MAX_AGE_QUERIES {
         if !agent.facts.view().targets.has_estimates() {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
             continue;
         }
         for (_, addr) in peers(&agent) {
@@ -122,34 +128,34 @@
                 return;
             }
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
-/// Ends when another version is to be taken.
-async fn another(agent: &Agent, current: &Wanted) {
+/// Returns when a version other than `current` should be loaded.
+async fn selection_changed(agent: &Agent, current: &ModelVersion) {
     let mut changes = agent.facts.changes();
     loop {
-        let Some(newest) = wanted(agent) else {
+        let Some(newest) = target_version(agent) else {
             let _ = changes.changed().await;
             continue;
         };
-        let open = is_open(agent, &newest);
-        if weigh(agent, newest).await != *current {
+        let has_choice = has_choice(agent, &newest);
+        if select_version(agent, newest).await != *current {
             return;
         }
         let changed = changes.changed();
-        if open {
-            let _ = tokio::time::timeout(WEIGH, changed).await;
+        if has_choice {
+            let _ = tokio::time::timeout(CHOICE_INTERVAL, changed).await;
         } else if changed.await.is_err() {
             std::future::pending::<()>().await;
         }
     }
 }
 
-/// Returns what the engine is to serve: the version named, or what its
-/// fellow replicas hold as long as none has been named.
-fn wanted(agent: &Agent) -> Option<Wanted> {
+/// Returns the version that the engine should serve: the target, or else the
+/// newest version held by a replica of the service while no target is set.
+fn target_version(agent: &Agent) -> Option<ModelVersion> {
     let view = agent.facts.view();
     let routes = view.routes.as_ref()?;
     let service = routes.service(&agent.settings.service)?;
@@ -157,7 +163,7 @@
     let model = service.models.first()?;
     let model = Arc::clone(model);
     if let Some(version) = view.targets.version(&model) {
-        return Some(Wanted { model, version });
+        return Some(ModelVersion { model, version });
     }
     let state = agent.state.borrow();
     let own = state.as_ref().and_then(|s| s.version);
@@ -166,80 +172,87 @@
         .filter_map(|(r, _)| r.version(&model, layers))
         .max();
     let version = held.max(own).unwrap_or(1);
-    Some(Wanted { model, version })
+    Some(ModelVersion { model, version })
 }
 
-fn serves(engine: &EngineState, wanted: &Wanted) -> bool {
+fn serves(engine: &EngineState, wanted: &ModelVersion) -> bool {
     !engine.busy
         && engine.model.as_ref() == Some(&wanted.model)
         && engine.version == Some(wanted.version)
 }
 
-/// Takes the engine to a version: fetch, wait for the turn, load.
-async fn change(agent: &Arc<Agent>, wanted: &Wanted) -> Result<(), Error> {
+/// Switches the engine to a version: fetches its chunks, waits for the
+/// replica's turn, and loads it.
+async fn switch_version(
+    agent: &Arc<Agent>,
+    wanted: &ModelVersion,
+) -> Result<(), Error> {
     let mut owner = FetchOwner::new(Arc::clone(agent));
     if peers(agent).is_empty() {
         list_peers(agent).await;
     } else {
         owner.relist();
     }
-    let drawing = &agent.drawing;
+    let fetch_context = &agent.fetch_context;
     let manifest =
-        find_manifest(drawing, &owner, &wanted.model, wanted.version).await;
-    take_staged(agent, &manifest).await;
-    let turn = Turn::of(agent, &manifest);
+        find_manifest(fetch_context, &owner, &wanted.model, wanted.version)
+            .await;
+    reuse_staged(agent, &manifest).await;
+    let turn = Turn::for_manifest(agent, &manifest);
     owner.set_pace(turn.pace(agent, &manifest));
     let fetched = tokio::select! {
-        fetched = fetch(drawing, &owner, &manifest) => fetched,
-        never = take_out_in_time(agent, &manifest, &turn) => match never {},
+        fetched = fetch(fetch_context, &owner, &manifest) => fetched,
+        never = unload_when_expired(agent, &manifest, &turn) => match never {},
     };
     if let Err(error) = fetched {
         agent.holdings.forget(&wanted.model, wanted.version);
         return Err(error);
     }
-    // One that has paused already has finished its work meanwhile.
+    // A replica that is paused already has finished its requests.
     if !agent.is_paused() {
         turn.after_fetch(agent, &manifest).wait(agent).await;
     }
     load(agent, &manifest, turn.number()).await?;
-    let settled = Arc::clone(agent);
+    let agent_after_load = Arc::clone(agent);
     tokio::spawn(async move {
-        tokio::time::sleep(SHARE).await;
-        if settled.state.borrow().as_ref().and_then(|s| s.version)
+        tokio::time::sleep(SHARE_AFTER_LOAD).await;
+        if agent_after_load.state.borrow().as_ref().and_then(|s| s.version)
             == Some(manifest.version)
         {
             let version = manifest.version;
-            settled.holdings.settle(&manifest);
-            settled.holdings.drop_before(&manifest.model, version);
+            agent_after_load.holdings.settle(&manifest);
+            agent_after_load.holdings.drop_before(&manifest.model, version);
         }
     });
     Ok(())
 }
 
-/// Takes the replica out once the time of the version that it holds is over:
-/// it is ordered to keep one layer of it only.
+/// Unloads an outdated version when it may no longer be served, by ordering
+/// the engine to keep only one layer of it.
 ///
-/// Entries send nothing more by then. But what they sent may still be on its
-/// way over a poor link, or come from one that has just woken up; only the
-/// replica itself can make sure that it does not begin.
-async fn take_out_in_time(
+/// Entries send no more requests by then. But a request may still be delayed
+/// on a slow link, or be sent by an entry that was suspended. Only the replica
+/// itself can make sure that such a request does not start.
+async fn unload_when_expired(
     agent: &Agent,
     manifest: &VersionManifest,
     turn: &Turn,
 ) -> Infallible {
-    turn.wait_for_end(agent).await;
+    turn.wait_for_expiry(agent).await;
     loop {
-        if let Err(error) = take_out(agent, manifest).await {
-            log_failure(&agent.facts, "take out", &error);
+        if let Err(error) = unload_outdated(agent, manifest).await {
+            log_failure(&agent.facts, "unload", &error);
         }
         if agent.engine_state().await.is_ok_and(|s| s.version.is_none()) {
             return std::future::pending().await;
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
-async fn take_out(
+/// Orders the engine to keep only one layer if it has loaded a version older
+/// than that of `manifest` and is not busy.
+async fn unload_outdated(
     agent: &Agent,
     manifest: &VersionManifest,
 ) -> Result<(), Error> {
@@ -248,8 +261,8 @@
     let Some(version) = outdated.filter(|_| !state.busy) else {
         return Ok(());
     };
-    // No request passes through one layer, whatever its chunks are now, and
-    // the load of the new version replaces it.
+    // A single layer cannot serve requests, whichever chunks are staged now,
+    // and loading the new version replaces it.
     let order = LoadOrder {
         model: Arc::clone(&manifest.model),
         version,
@@ -261,7 +274,7 @@
     outcome.map(|_| ())
 }
 
-/// Verifies all that is staged, orders the load and waits for its end.
+/// Verifies the staged chunks, orders the load, and waits until it ends.
 async fn load(
     agent: &Arc<Agent>,
     manifest: &VersionManifest,
@@ -278,25 +291,31 @@
     let outcome = agent.engine.load(&order).await;
     log_order(agent, &order, turn, &outcome);
     if matches!(outcome, Ok(LoadOutcome::Conflict)) {
-        return Err(Error::new(Code::EngineRefused, "its state differs"));
+        return Err(Error::new(
+            Code::EngineRefused,
+            "the engine refused the load order: its state does not match",
+        ));
     }
-    // An order without an answer may have been taken.
+    // The engine may have accepted an order without an answer.
     await_loaded(agent, manifest).await
 }
 
-/// Waits until the engine has carried out what it was ordered to: it refuses
-/// an order while another one is under way.
+/// Waits until the engine has finished its current order, since it refuses
+/// orders while one is in progress.
 async fn idle_engine(agent: &Agent) -> Result<EngineState, Error> {
-    let until = tokio::time::Instant::now() + LOAD_LIMIT;
+    let deadline = tokio::time::Instant::now() + LOAD_TIMEOUT;
     loop {
         let state = agent.engine_state().await?;
         if !state.busy {
             return Ok(state);
         }
-        if tokio::time::Instant::now() > until {
-            return Err(Error::new(Code::EngineLost, "an order hangs"));
+        if tokio::time::Instant::now() > deadline {
+            return Err(Error::new(
+                Code::EngineLost,
+                "timed out waiting for the engine to finish an order",
+            ));
         }
-        tokio::time::sleep(PAUSE / 2).await;
+        tokio::time::sleep(RETRY_DELAY / 2).await;
     }
 }
 
@@ -306,9 +325,9 @@
     turn: usize,
     outcome: &Result<LoadOutcome, Error>,
 ) {
-    let said = match outcome {
+    let outcome_text = match outcome {
         Ok(LoadOutcome::Started) => "begun",
-        Ok(LoadOutcome::AlreadyLoaded) => "held already",
+        Ok(LoadOutcome::AlreadyLoaded) => "already loaded",
         Ok(LoadOutcome::Conflict) => "conflict",
         Err(_) => "no answer",
     };
@@ -317,17 +336,18 @@
         version: order.version,
         layers: order.layers.map(|l| (l.from, l.to)),
         turn,
-        outcome: said,
+        outcome: outcome_text,
     });
 }
 
+/// Waits until the engine has loaded the version of `manifest`.
 async fn await_loaded(
     agent: &Agent,
     manifest: &VersionManifest,
 ) -> Result<(), Error> {
-    let until = tokio::time::Instant::now() + LOAD_LIMIT;
+    let deadline = tokio::time::Instant::now() + LOAD_TIMEOUT;
     loop {
-        tokio::time::sleep(PAUSE / 2).await;
+        tokio::time::sleep(RETRY_DELAY / 2).await;
         let state = agent.engine_state().await;
         if let Ok(state) = &state {
             if loaded(state, manifest) {
@@ -339,11 +359,17 @@
                 return Ok(());
             }
             if !state.busy {
-                return Err(Error::new(Code::EngineRefused, "not loaded"));
+                return Err(Error::new(
+                    Code::EngineRefused,
+                    "the engine did not load the version",
+                ));
             }
         }
-        if tokio::time::Instant::now() > until {
-            return Err(Error::new(Code::EngineLost, "the load hangs"));
+        if tokio::time::Instant::now() > deadline {
+            return Err(Error::new(
+                Code::EngineLost,
+                "timed out waiting for the engine to load the version",
+            ));
         }
     }
 }
--- a/crates/loader/src/serve.rs
+++ b/crates/loader/src/serve.rs
@@ -1,4 +1,4 @@
-//! What an agent serves to peers and entries.
+//! Handles HTTP requests from peers and entries.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,13 +15,13 @@
 use crate::agent::Agent;
 use crate::feed::feed;
 
-/// The largest news, in bytes.
-const MOST_NEWS: usize = 64 << 10;
+/// The maximum size of a news message, in bytes.
+const MAX_NEWS_BYTES: usize = 64 << 10;
 
-/// Within which news have to be whole.
-const NEWS_TIME: Duration = Duration::from_secs(2);
+/// The time within which a news message must be received.
+const NEWS_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The HTTP side of an agent.
+/// The HTTP request handler of an agent.
 pub(crate) struct AgentServer {
     pub agent: Arc<Agent>,
     pub chunks: ChunkServer,
@@ -60,7 +60,7 @@
         }
         if path == "/news" && post {
             let body = request.into_body();
-            let bytes = read(body, MOST_NEWS, NEWS_TIME).await?;
+            let bytes = read(body, MAX_NEWS_BYTES, NEWS_TIMEOUT).await?;
             let news: News = serde_json::from_slice(&bytes)
                 .map_err(|e| Error::new(Code::MalformedJson, e))?;
             self.agent.take_news(&news);
@@ -73,7 +73,7 @@
         Err(Error::new(Code::UnknownPath, path))
     }
 
-    /// Answers a question for chunks, unless the link is too poor.
+    /// Answers a request for chunks, unless the link is too poor.
     async fn any(
         &self,
         request: Request<Incoming>,
@@ -81,12 +81,15 @@
         let question = ChunkServer::question(request).await?;
         let share = *self.agent.link_share();
         if share.is_poor() {
-            let why = format!("chunks may take {:.2} of it", share.upload());
-            return Err(Error::new(Code::PoorLink, why));
+            let reason = format!(
+                "link share for sending chunks is only {:.2}",
+                share.upload()
+            );
+            return Err(Error::new(Code::PoorLink, reason));
         }
         let response = self.chunks.any(&question).await?;
         if response.status() == StatusCode::OK {
-            self.agent.note_moved();
+            self.agent.record_transfer();
         }
         Ok(response)
     }
--- a/crates/loader/src/staging.rs
+++ b/crates/loader/src/staging.rs
@@ -1,7 +1,8 @@
-//! What lies staged at the engine.
+//! The chunks staged at the engine.
 //!
-//! It outlasts the agent and may turn bad: it is offered to peers, taken over
-//! by an agent that starts, and read back before each load.
+//! Staged chunks outlive the agent's process and may be corrupted. They are
+//! offered to peers, reused by an agent that restarts, and verified before
+//! each load.
 
 use std::sync::Arc;
 
@@ -11,14 +12,18 @@
 
 use crate::agent::Agent;
 use crate::fetch_owner::FetchOwner;
-use crate::succession::Wanted;
+use crate::version_selection::ModelVersion;
 
-/// Offers what lies staged at the engine to peers.
-pub(crate) async fn share_staged(agent: &Arc<Agent>, wanted: &Wanted) {
+/// Offers the chunks staged at the engine to peers.
+pub(crate) async fn share_staged(agent: &Arc<Agent>, wanted: &ModelVersion) {
     let owner = FetchOwner::new(Arc::clone(agent));
-    let manifest =
-        find_manifest(&agent.drawing, &owner, &wanted.model, wanted.version)
-            .await;
+    let manifest = find_manifest(
+        &agent.fetch_context,
+        &owner,
+        &wanted.model,
+        wanted.version,
+    )
+    .await;
     let Ok(staged) = agent.engine.staged(&wanted.model).await else {
         return;
     };
@@ -29,14 +34,14 @@
         if agent.holdings.holds(digest) {
             continue;
         }
-        // Verified when it is read for a peer.
+        // The chunk is verified when it is read for a peer.
         let model = Arc::clone(&wanted.model);
         agent.holdings.keep(*digest, Held::Staged(model, index));
     }
 }
 
-/// Takes over good chunks that lie at the engine from before a restart.
-pub(crate) async fn take_staged(agent: &Agent, manifest: &VersionManifest) {
+/// Reuses intact chunks that were staged before a restart.
+pub(crate) async fn reuse_staged(agent: &Agent, manifest: &VersionManifest) {
     agent.holdings.forget_staged(manifest);
     let model = &manifest.model;
     let Ok(staged) = agent.engine.staged(model).await else { return };
@@ -51,7 +56,8 @@
             continue;
         };
         if Digest::sha256(&bytes) != *digest {
-            // The stage holds another version: the rest will not fit either.
+            // Another version is staged, so the other chunks do not match
+            // either.
             return;
         }
         agent.holdings.keep(*digest, Held::Bytes(bytes));
@@ -60,10 +66,10 @@
 
 /// Stages a chunk of a version that is being fetched.
 ///
-/// The engine has one place for each chunk, so what lies there of the version
-/// in force is taken into memory first: as long as the fetch lasts, replicas
-/// of the hall that start empty can have the version in force from here only.
-/// Its bytes go once the new version is loaded.
+/// The engine holds one staged chunk per index, so a staged chunk of the
+/// current version is first copied into memory. During the fetch such copies
+/// are the only source of the current version for replicas of the hall that
+/// start without weights. They are dropped after the new version is loaded.
 pub(crate) async fn stage(
     agent: &Agent,
     manifest: &VersionManifest,
@@ -71,28 +77,41 @@
     bytes: Bytes,
 ) {
     let model = &manifest.model;
-    let before = agent.holdings.staged_at(model, index);
-    let named = manifest.digests.get(index as usize);
-    let before = before.filter(|d| named != Some(d));
-    if let Some(digest) = before {
-        save(agent, model, index, &digest).await;
+    let previous = agent.holdings.staged_at(model, index);
+    let expected = manifest.digests.get(index as usize);
+    let previous = previous.filter(|d| expected != Some(d));
+    if let Some(digest) = previous {
+        copy_to_memory(agent, model, index, &digest).await;
     }
-    // What cannot be staged now is staged before the load.
+    // A chunk that cannot be staged now is staged by the verification before
+    // the load.
     let _ = agent.engine.write(model, index, bytes).await;
 }
 
-async fn save(agent: &Agent, model: &str, index: u32, digest: &Digest) {
+/// Copies a staged chunk into memory, or drops it if it is not intact.
+async fn copy_to_memory(
+    agent: &Agent,
+    model: &str,
+    index: u32,
+    digest: &Digest,
+) {
     let read = agent.engine.read(model, index).await;
     match read {
         Ok(bytes) if Digest::sha256(&bytes) == *digest => {
             agent.holdings.keep(*digest, Held::Bytes(bytes));
         }
-        // Gone or spoilt there: peers are to look elsewhere.
+        // The staged chunk is missing or corrupt, and is no longer offered to
+        // peers.
         Ok(_) | Err(_) => agent.holdings.drop_chunk(digest),
     }
 }
 
-/// Reads every chunk back and writes those again that have turned bad.
+/// Reads every staged chunk back, and writes corrupt or missing ones again.
+///
+/// # Errors
+///
+/// [`Code::CorruptChunk`] if the bytes of such a chunk are not in memory, or
+/// the engine's error if it cannot write the chunk.
 pub(crate) async fn verify_staged(
     agent: &Agent,
     manifest: &VersionManifest,
@@ -100,17 +119,17 @@
     let model = &manifest.model;
     for (i, digest) in manifest.digests.iter().enumerate() {
         let index = i as u32;
-        let good = agent
+        let intact = agent
             .engine
             .read(model, index)
             .await
             .is_ok_and(|bytes| Digest::sha256(&bytes) == *digest);
-        if good {
+        if intact {
             continue;
         }
         let Some(bytes) = agent.holdings.bytes(digest) else {
             agent.holdings.drop_chunk(digest);
-            let why = format!("chunk {index} turned bad at the engine");
+            let why = format!("staged chunk {index} is missing or corrupt");
             return Err(Error::new(Code::CorruptChunk, why));
         };
         agent.engine.write(model, index, bytes).await?;
--- a/crates/loader/src/listeners.rs
+++ b/crates/loader/src/subscribers.rs
@@ -1,7 +1,7 @@
-//! The entries that listen to an agent.
+//! The entries that subscribe to an agent's feed.
 //!
-//! The platform does not list entries. Each listens to all agents, so these
-//! can tell it of the others.
+//! The platform does not list entries. Each entry subscribes to all agents, so
+//! agents can tell it of the other entries.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,28 +11,28 @@
 use stairhinge::placing::leading_entries;
 use tokio::sync::Notify;
 
-/// The entries of a hall that others are told of: those that may read the
-/// platform for them.
-const TOLD_OF_HALL: usize = 3;
+/// The maximum number of entries per hall that are announced to others: those
+/// that may read the platform on their behalf.
+const MAX_ANNOUNCED_PER_HALL: usize = 3;
 
-/// Entries that listen.
+/// The subscribed entries.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Listeners {
-    /// How many feeds each has open.
+pub(crate) struct Subscribers {
+    /// The number of open feeds of each entry.
     feeds: Arc<Mutex<BTreeMap<HallEntry, u32>>>,
     joined: Arc<Notify>,
 }
 
-impl Listeners {
-    /// Returns the first in rank of each hall's entries that listen now.
-    pub(crate) fn first(&self) -> Vec<HallEntry> {
+impl Subscribers {
+    /// Returns the highest ranked subscribed entries of each hall.
+    pub(crate) fn first_ranked(&self) -> Vec<HallEntry> {
         let feeds = self.feeds.lock().unwrap_or_else(PoisonError::into_inner);
-        let mut told: BTreeMap<Arc<str>, usize> = BTreeMap::new();
+        let mut counts: BTreeMap<Arc<str>, usize> = BTreeMap::new();
         let mut first = Vec::new();
-        // In the order of addresses, which is that of rank.
+        // The map is sorted by address, which is the order of rank.
         for entry in feeds.keys() {
-            let count = told.entry(Arc::clone(&entry.hall)).or_default();
-            if *count < TOLD_OF_HALL {
+            let count = counts.entry(Arc::clone(&entry.hall)).or_default();
+            if *count < MAX_ANNOUNCED_PER_HALL {
                 *count += 1;
                 first.push(entry.clone());
             }
@@ -40,36 +40,37 @@
         first
     }
 
-    /// Returns the entries of a hall that listen now.
+    /// Returns the subscribed entries of a hall.
     pub(crate) fn of_hall(&self, hall: &str) -> Vec<HallEntry> {
         let feeds = self.feeds.lock().unwrap_or_else(PoisonError::into_inner);
         feeds.keys().filter(|entry| &*entry.hall == hall).cloned().collect()
     }
 
-    /// Returns the leading ones of a hall's entries that listen now.
+    /// Returns the leading entries among the subscribed ones of a hall.
     pub(crate) fn leading(&self, hall: &str) -> Vec<SocketAddr> {
         leading_entries(self.of_hall(hall).into_iter().map(|entry| entry.addr))
     }
 
-    /// Returns how many of a hall's entries listen now, rounded up to a power
-    /// of two: each one that joins or leaves is no news to all others.
+    /// Returns the number of subscribed entries of a hall, rounded up to a
+    /// power of two, so that most changes of it need not be sent to all
+    /// entries.
     pub(crate) fn count(&self, hall: &str) -> usize {
         self.of_hall(hall).len().next_power_of_two()
     }
 
-    /// Ends when the next entry begins to listen.
-    pub(crate) async fn joined(&self) {
+    /// Waits until the next entry subscribes.
+    pub(crate) async fn wait_for_join(&self) {
         self.joined.notified().await;
     }
 
-    /// Counts a feed of an entry in until the guard is dropped.
-    pub(crate) fn listen(&self, entry: HallEntry) -> Listening {
+    /// Counts an open feed of an entry until the guard is dropped.
+    pub(crate) fn subscribe(&self, entry: HallEntry) -> Subscription {
         let mut feeds =
             self.feeds.lock().unwrap_or_else(PoisonError::into_inner);
         *feeds.entry(entry.clone()).or_default() += 1;
         drop(feeds);
         self.joined.notify_waiters();
-        Listening { entry, listeners: self.clone() }
+        Subscription { entry, subscribers: self.clone() }
     }
 
     fn leave(&self, entry: &HallEntry) {
@@ -83,15 +84,15 @@
     }
 }
 
-/// An open feed of an entry.
+/// A guard for an open feed of an entry.
 #[derive(Debug)]
-pub(crate) struct Listening {
+pub(crate) struct Subscription {
     entry: HallEntry,
-    listeners: Listeners,
+    subscribers: Subscribers,
 }
 
-impl Drop for Listening {
+impl Drop for Subscription {
     fn drop(&mut self) {
-        self.listeners.leave(&self.entry);
+        self.subscribers.leave(&self.entry);
     }
 }
--- a/crates/loader/src/turn.rs
+++ b/crates/loader/src/turn.rs
@@ -1,4 +1,4 @@
-//! When this replica gets nothing new, to change to another version.
+//! When this replica stops receiving requests to load another version.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,26 +10,29 @@
 use crate::agent::Agent;
 use stairhinge_chunks::VersionManifest;
 
-/// How much sooner than the bound the last replica gets nothing more.
-const MARGIN: Duration = Duration::from_millis(900);
+/// How long before the version bound the last replica stops receiving
+/// requests.
+const LAST_PAUSE_MARGIN: Duration = Duration::from_millis(900);
 
-/// How much sooner than the bound a replica that has not changed is taken
-/// out.
-const TAKE_OUT: Duration = Duration::from_millis(700);
+/// How long before the version bound a replica that has not switched unloads
+/// its outdated version.
+const UNLOAD_MARGIN: Duration = Duration::from_millis(700);
 
-/// This replica's turn in a change of version.
+/// This replica's turn in the rollout of a version.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Turn {
     number: usize,
-    /// `None` for a replica that serves nothing, so that nobody misses it.
+    /// When the replica stops receiving requests, or `None` if it serves no
+    /// model, so that it can switch at any time.
     pauses_at: Option<Time>,
-    /// When the version that the replica holds may not begin anything more.
-    ends_at: Option<Time>,
+    /// When the loaded version must not start any more requests.
+    expires_at: Option<Time>,
 }
 
 impl Turn {
-    /// Works out the turn of this replica for a version, as of now; the
-    /// first turn comes no sooner than `transfer` after its naming.
+    /// Computes the turn of this replica for a version at the current time.
+    /// The first turn comes no earlier than `transfer` after the version
+    /// became the target.
     pub(crate) fn new(
         agent: &Agent,
         model: &str,
@@ -42,10 +45,11 @@
         let held = agent.state.borrow().as_ref().and_then(|s| s.version);
         let outdated = held
             .and_then(|version| view.targets.outdated_since(model, version));
-        let named = view.targets.targeted_at(model, version);
-        let (true, Some(named), Some(outdated)) = (serves, named, outdated)
+        let targeted = view.targets.targeted_at(model, version);
+        let (true, Some(targeted), Some(outdated)) =
+            (serves, targeted, outdated)
         else {
-            return Turn { number: 0, pauses_at: None, ends_at: None };
+            return Turn { number: 0, pauses_at: None, expires_at: None };
         };
         let service = &agent.settings.service;
         let mut members = Vec::new();
@@ -55,41 +59,48 @@
             }
         }
         let subject = format!("{model}@{version}");
-        let me = agent.settings.engine.to_string();
-        let rollout = RolloutTurn::new(subject.as_bytes(), &members, &me);
-        // The first ones finish their work while the last chunks come. Once
-        // these are here, the turns are spread over what time is left.
-        let soonest = named.after(transfer);
-        let first = soonest.max(agent.facts.now());
-        let bound = agent.live.get().version_bound().saturating_sub(MARGIN);
+        let own_addr = agent.settings.engine.to_string();
+        let rollout =
+            RolloutTurn::new(subject.as_bytes(), &members, &own_addr);
+        // The first replicas finish their requests while the last chunks
+        // arrive. After that the turns are spread over the remaining time.
+        let earliest = targeted.after(transfer);
+        let first = earliest.max(agent.facts.now());
+        let bound =
+            agent.live.get().version_bound().saturating_sub(LAST_PAUSE_MARGIN);
         let pauses_at = rollout.pauses_at(first, outdated.after(bound));
-        let end = agent.live.get().version_bound().saturating_sub(TAKE_OUT);
+        let end =
+            agent.live.get().version_bound().saturating_sub(UNLOAD_MARGIN);
         Turn {
             number: rollout.turn(),
             pauses_at: Some(pauses_at),
-            ends_at: Some(outdated.after(end)),
+            expires_at: Some(outdated.after(end)),
         }
     }
 
-    /// Works out the turn of this replica for a version, as of now.
-    pub(crate) fn of(agent: &Agent, manifest: &VersionManifest) -> Turn {
+    /// Computes the turn of this replica for the version of a manifest at the
+    /// current time.
+    pub(crate) fn for_manifest(
+        agent: &Agent,
+        manifest: &VersionManifest,
+    ) -> Turn {
         let transfer = transfer(agent, manifest);
         Turn::new(agent, &manifest.model, manifest.version, transfer)
     }
 
-    /// Returns when the replica gets nothing new, or `None` if it serves
-    /// nothing.
+    /// Returns when the replica stops receiving requests, or `None` if it
+    /// serves no model.
     pub(crate) const fn pauses_at(&self) -> Option<Time> {
         self.pauses_at
     }
 
-    /// Returns the turn, counted from 0.
+    /// Returns the index of the turn, starting at 0.
     pub(crate) const fn number(&self) -> usize {
         self.number
     }
 
-    /// Returns the pace of a fetch that has to end with the turn, or `None`
-    /// if it should be as fast as the link bears.
+    /// Returns the pace of a fetch that must end when the turn comes, or
+    /// `None` if it should be as fast as the link allows.
     pub(crate) fn pace(
         &self,
         agent: &Agent,
@@ -102,27 +113,29 @@
         Some(FetchPace::new(missing, now, pauses_at))
     }
 
-    /// Returns the turn once all chunks are here: the same, unless they came
-    /// after it was due. Then the turns are spread over what time is left.
+    /// Returns the turn after all chunks have arrived. If they arrived after
+    /// the turn was due, it is computed again, which spreads the turns over
+    /// the remaining time.
     pub(crate) fn after_fetch(
         self,
         agent: &Agent,
         manifest: &VersionManifest,
     ) -> Turn {
         let due = self.pauses_at.is_some_and(|at| agent.facts.now() > at);
-        if due { Turn::of(agent, manifest) } else { self }
+        if due { Turn::for_manifest(agent, manifest) } else { self }
     }
 
-    /// Waits until the version that the replica holds may begin nothing more.
-    pub(crate) async fn wait_for_end(&self, agent: &Agent) {
-        let Some(ends_at) = self.ends_at else {
+    /// Waits until the loaded version must not start any more requests, and
+    /// pauses the replica.
+    pub(crate) async fn wait_for_expiry(&self, agent: &Agent) {
+        let Some(expires_at) = self.expires_at else {
             return std::future::pending().await;
         };
-        tokio::time::sleep(ends_at.since(agent.facts.now())).await;
+        tokio::time::sleep(expires_at.since(agent.facts.now())).await;
         agent.set_paused(true);
     }
 
-    /// Waits until the turn has come, and pauses the replica.
+    /// Waits until the turn comes, and pauses the replica.
     pub(crate) async fn wait(&self, agent: &Agent) {
         let Some(pauses_at) = self.pauses_at else { return };
         let wait = pauses_at.since(agent.facts.now());
@@ -131,7 +144,8 @@
     }
 }
 
-/// Returns how long the chunks of a version take over this instance's link.
+/// Returns how long the chunks of a version take to transfer over this
+/// instance's link.
 fn transfer(agent: &Agent, manifest: &VersionManifest) -> Duration {
     let bytes =
         manifest.digests.len() as u64 * u64::from(manifest.chunk_bytes);
