--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -109,13 +109,13 @@
         r.register("answers", "Final answers", self.answers.clone());
         r.register_with_unit(
             "first_byte",
-            "Time from the head of a request to the head of its answer",
+            "From a request's head to the head of its answer",
             Unit::Seconds,
             self.first_byte.clone(),
         );
         r.register_with_unit(
             "waited",
-            "Time that requests waited for a replica with capacity",
+            "How long requests waited for a replica with room",
             Unit::Seconds,
             self.waited.clone(),
         );
@@ -124,105 +124,77 @@
         let retries = self.retries.clone();
         r.register("retries", "Attempts after the first", retries);
         let resumed = self.resumed.clone();
-        r.register("resumed", "Streams resumed at another replica", resumed);
+        r.register("resumed", "Streams taken up elsewhere", resumed);
         let replica_ended_under = self.replica_ended_under.clone();
         r.register(
             "replica_ended_under",
-            "Attempts during which the replica's process ended",
+            "Attempts under which the replica's process ended",
             replica_ended_under,
         );
         let suspected = self.suspected.clone();
         r.register(
             "requests_suspected",
-            "Requests suspected of crashing replicas",
+            "Requests remembered under which replicas ended",
             suspected,
         );
         let quarantined = self.quarantined.clone();
         r.register(
             "requests_quarantined",
-            "Suspected requests that are quarantined",
+            "Of these, the ones kept from replicas",
             quarantined,
         );
         let cancelled = self.cancelled.clone();
-        r.register(
-            "cancelled",
-            "Requests cancelled by their caller",
-            cancelled,
-        );
-        r.register(
-            "running",
-            "Requests in progress at replicas",
-            self.running.clone(),
-        );
-        r.register(
-            "waiting",
-            "Requests waiting for a replica",
-            self.waiting.clone(),
-        );
+        r.register("cancelled", "Requests whose caller went", cancelled);
+        r.register("running", "Requests at replicas", self.running.clone());
+        r.register("waiting", "Requests waiting", self.waiting.clone());
         let revision = self.revision.clone();
-        r.register(
-            "routes_revision",
-            "Revision of the routes in force",
-            revision,
-        );
+        r.register("routes_revision", "Revision of the routes", revision);
         r.register_with_unit(
             "routes_age",
-            "Time since the routes were last known to be up to date",
+            "Since all published routes were known",
             Unit::Seconds,
             self.routes_age.clone(),
         );
         let documents_read = self.documents_read.clone();
         r.register(
             "documents_read",
-            "Complete route documents read from the platform since the start",
+            "Whole documents of routes read from the platform, since the start",
             documents_read,
         );
         let replicas = self.replicas.clone();
-        r.register("replicas", "Listed replicas", replicas);
+        r.register("replicas", "Replicas listed", replicas);
         let choices = self.choices.clone();
-        r.register("choices", "Chosen replicas, by who chose them", choices);
+        r.register("choices", "Replicas chosen, by whom", choices);
         let calls = self.calls.clone();
-        r.register(
-            "platform_calls",
-            "Calls to the platform since the start, by kind",
-            calls,
-        );
+        r.register("platform_calls", "Calls since the start, by kind", calls);
         let evacuated = self.evacuated.clone();
-        r.register("halls_evacuated", "Evacuated halls", evacuated);
+        r.register("halls_evacuated", "Halls that get nothing", evacuated);
         let cold = self.cold.clone();
-        r.register(
-            "replicas_cold",
-            "Cold replicas with a bounded request rate",
-            cold,
-        );
+        r.register("replicas_cold", "Replicas that bear little", cold);
         let limited = self.limited.clone();
         r.register(
             "replicas_limited",
-            "Replicas that have set a rate limit",
+            "Replicas that name a rate limit",
             limited,
         );
         let leaving = self.leaving.clone();
         r.register(
             "replicas_leaving",
-            "Replicas that announced in an answer that they are leaving",
+            "Replicas whose answers say that they leave",
             leaving,
         );
         let resting = self.resting.clone();
         r.register(
             "replicas_resting",
-            "Replicas whose Retry-After has not expired",
+            "Replicas that asked for rest",
             resting,
         );
         let places_given = self.places_given.clone();
-        r.register(
-            "places_given",
-            "Places currently given to other entries",
-            places_given,
-        );
+        r.register("places_given", "Places that others have", places_given);
         let places_taken_back = self.places_taken_back.clone();
         r.register(
             "places_taken_back",
-            "Places reclaimed from entries that reported no end, since start",
+            "Places of others whose end was not told, since the start",
             places_taken_back,
         );
     }
