--- a/crates/agent/src/engine.rs
+++ b/crates/agent/src/engine.rs
@@ -1,8 +1,9 @@
-//! The protocol of model engines, as their makers publish it.
+//! A client for the published control protocol of model engines.
 //!
-//! `GET /engine` tells the engine's state, `POST /engine/load`,
-//! `/engine/unload` and `/engine/role` are fenced orders. A load order names the chunks and
-//! where to get them; loading what is loaded already costs nothing.
+//! `GET /engine` returns the engine's state. `POST /engine/load`,
+//! `/engine/unload` and `/engine/role` are orders that carry a fencing token.
+//! A load order names the chunks and the address to read them from. Loading
+//! what is already loaded has no cost.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,16 +15,16 @@
 use stairhinge::{Code, Digest, Error};
 use stairhinge_shell::http::{Body, CallError, Client, full, headers, read};
 
-/// How long an engine may take to tell its state.
-const STATE: Duration = Duration::from_secs(1);
+/// The timeout for reading an engine's state.
+const STATE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long an engine may take to load.
-const LOAD: Duration = Duration::from_secs(600);
+/// The timeout for an order; loading takes the longest.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(600);
 
-/// The largest answer to an order.
-const MOST: usize = 1 << 20;
+/// The maximum size of an engine's answer, in bytes.
+const MAX_ANSWER_BYTES: usize = 1 << 20;
 
-/// The state that an engine tells, late.
+/// The body of an engine's answer to `GET /engine`.
 #[derive(Clone, Debug, Deserialize)]
 struct Told {
     fence: String,
@@ -31,18 +32,18 @@
     manifests: Vec<Digest>,
 }
 
-/// What an engine holds.
+/// The state of an engine.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) struct State {
-    /// The highest fence that it has taken an order under.
+    /// The highest fence of an order that it has accepted.
     pub(crate) fence: Fence,
-    /// The fence of the order under which it loaded what it holds.
+    /// The fence of the order that loaded the current target.
     pub(crate) loaded: Fence,
-    /// What it holds; empty if nothing.
+    /// The manifests of the loaded target; empty if none is loaded.
     pub(crate) manifests: Vec<Digest>,
 }
 
-/// An order to load.
+/// The body of a load order.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct Load {
     pub(crate) model: Arc<str>,
@@ -57,20 +58,21 @@
     client: &Client,
     addr: SocketAddr,
 ) -> Result<State, Error> {
-    let (status, _, bytes) = client.get(addr, "/engine", MOST, STATE).await?;
+    let (status, _, bytes) =
+        client.get(addr, "/engine", MAX_ANSWER_BYTES, STATE_TIMEOUT).await?;
     if status != 200 {
-        return Err(lost(addr, &format!("status {status}")));
+        return Err(engine_lost(addr, &format!("status {status}")));
     }
-    let told: Told =
-        serde_json::from_slice(&bytes).map_err(|e| lost(addr, &e))?;
+    let answer: Told =
+        serde_json::from_slice(&bytes).map_err(|e| engine_lost(addr, &e))?;
     Ok(State {
-        fence: told.fence.parse()?,
-        loaded: told.loaded.parse()?,
-        manifests: told.manifests,
+        fence: answer.fence.parse()?,
+        loaded: answer.loaded.parse()?,
+        manifests: answer.manifests,
     })
 }
 
-/// Orders an engine to load.
+/// Orders an engine to load a target.
 pub(crate) async fn load(
     client: &Client,
     addr: SocketAddr,
@@ -79,28 +81,28 @@
 ) -> Result<(), Error> {
     let json =
         serde_json::to_vec(load).map_err(|e| Error::new(Code::Internal, e))?;
-    order(client, addr, "/engine/load", fence, json).await
+    send_order(client, addr, "/engine/load", fence, json).await
 }
 
-/// Orders an engine to go on in its role, so that it remembers the fence.
+/// Orders an engine to keep its role, so that it stores the fence.
 pub(crate) async fn role(
     client: &Client,
     addr: SocketAddr,
     fence: Fence,
 ) -> Result<(), Error> {
-    order(client, addr, "/engine/role", fence, Vec::new()).await
+    send_order(client, addr, "/engine/role", fence, Vec::new()).await
 }
 
-/// Orders an engine to drop what it holds.
+/// Orders an engine to unload its target.
 pub(crate) async fn unload(
     client: &Client,
     addr: SocketAddr,
     fence: Fence,
 ) -> Result<(), Error> {
-    order(client, addr, "/engine/unload", fence, Vec::new()).await
+    send_order(client, addr, "/engine/unload", fence, Vec::new()).await
 }
 
-async fn order(
+async fn send_order(
     client: &Client,
     addr: SocketAddr,
     path: &str,
@@ -112,24 +114,25 @@
         .body(full(json))
         .map_err(|e| Error::new(Code::Internal, e))?;
     let response = client
-        .send(addr, request, LOAD)
+        .send(addr, request, ORDER_TIMEOUT)
         .await
-        .map_err(|e: CallError| lost(addr, &e))?;
+        .map_err(|e: CallError| engine_lost(addr, &e))?;
     let status = response.status().as_u16();
-    let body = read(response.into_body(), MOST, STATE).await?;
+    let body =
+        read(response.into_body(), MAX_ANSWER_BYTES, STATE_TIMEOUT).await?;
     match status {
         200 => Ok(()),
         409 => Err(Error::new(
             Code::EngineRefused,
-            format_args!("{addr} under fence {fence}"),
+            format_args!("{addr} refused the order with fence {fence}"),
         )),
         other => {
             let why = String::from_utf8_lossy(&body);
-            Err(lost(addr, &format!("status {other}: {why}")))
+            Err(engine_lost(addr, &format!("status {other}: {why}")))
         }
     }
 }
 
-fn lost(addr: SocketAddr, why: &dyn std::fmt::Display) -> Error {
+fn engine_lost(addr: SocketAddr, why: &dyn std::fmt::Display) -> Error {
     Error::new(Code::EngineLost, format_args!("{addr}: {why}"))
 }
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -1,4 +1,4 @@
-//! `stairhinge-agent`: the process beside a backend server.
+//! `stairhinge-agent`: the agent process on a backend server's instance.
 
 use std::path::PathBuf;
 
--- a/crates/agent/tests/start.rs
+++ b/crates/agent/tests/start.rs
@@ -1,4 +1,4 @@
-//! What the agent does with bad settings and a slot that is taken.
+//! Startup failures of the agent: invalid settings and an address in use.
 
 use std::io::Write as _;
 use std::process::{Command, Output};
