--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -16,22 +16,23 @@
 use tokio::sync::{Notify, watch};
 
 use crate::Settings;
-use crate::fetch::Drawn;
-use crate::tally::Tally;
+use crate::fetch::FetchStats;
+use crate::request_counter::RequestCounter;
 
-/// Where the chunks of the newest set came from, for `explain`.
+/// The progress of the latest fetch, as shown by `explain`.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Progress {
     pub(crate) version: Arc<str>,
     pub(crate) lines: Vec<String>,
-    pub(crate) drawn: Drawn,
+    pub(crate) stats: FetchStats,
 }
 
-/// The links of an instance, up and down; one and the same if shared.
+/// The rate limits of an instance's link for sending and receiving. Both are
+/// the same shaper if the two directions share the link's rate.
 #[derive(Clone, Debug)]
 pub(crate) struct Links {
-    pub(crate) up: Shaper,
-    pub(crate) down: Shaper,
+    pub(crate) upload: Shaper,
+    pub(crate) download: Shaper,
 }
 
 /// The shared state of an agent.
@@ -41,32 +42,37 @@
     pub(crate) settings: Settings,
     pub(crate) start: Time,
     pub(crate) store: Mutex<ChunkStore<Bytes>>,
+    /// Incremented for each chunk that is stored.
     pub(crate) arrived: watch::Sender<u64>,
     pub(crate) attempts: Mutex<AttemptTable>,
     pub(crate) keys: Mutex<KeyTable>,
-    pub(crate) rings: Mutex<GuardHistory>,
-    pub(crate) gate: ArcSwapOption<LoadedTarget>,
-    /// The revision that the engine has been told of; see `Orders::tell`.
-    pub(crate) told: AtomicU64,
-    pub(crate) tally: Tally,
+    pub(crate) guard_history: Mutex<GuardHistory>,
+    /// The loaded target that requests are admitted for; `None` closes the
+    /// gate.
+    pub(crate) loaded: ArcSwapOption<LoadedTarget>,
+    /// The highest revision that the engine has confirmed; see
+    /// `Orders::inform`.
+    pub(crate) engine_revision: AtomicU64,
+    pub(crate) in_progress: RequestCounter,
     pub(crate) links: Links,
     pub(crate) progress: Mutex<Progress>,
-    pub(crate) nudge: Notify,
-    pub(crate) pause: Mutex<PauseDetector>,
+    /// Wakes the main loop.
+    pub(crate) wake: Notify,
+    pub(crate) pause_detector: Mutex<PauseDetector>,
 }
 
 impl Agent {
-    /// Returns the state of an agent that holds nothing.
+    /// Returns the state of an agent with an empty chunk store.
     pub fn new(node: Arc<Node>, settings: &Settings) -> Arc<Agent> {
         let values = &settings.values;
         let rate = values.number("link_kb_s") * 1_000;
-        let up = Shaper::new(rate);
+        let upload = Shaper::new(rate);
         let shared = values.flag("link_shared");
-        let down = if shared { up.clone() } else { Shaper::new(rate) };
-        let most = values.number("guard_keys") as usize;
+        let download = if shared { upload.clone() } else { Shaper::new(rate) };
+        let max_keys = values.number("guard_keys") as usize;
         let keep = values.millis("keep_ms");
         let start = node.now();
-        let attempts = AttemptTable::new(node.incarnation(), keep, most);
+        let attempts = AttemptTable::new(node.incarnation(), keep, max_keys);
         Arc::new(Agent {
             start,
             store: Mutex::new(ChunkStore::new(
@@ -74,51 +80,54 @@
             )),
             arrived: watch::channel(0).0,
             attempts: Mutex::new(attempts),
-            // The window comes with the first declaration; until then no
-            // key is granted at all.
-            keys: Mutex::new(KeyTable::new(start, Duration::ZERO, most)),
-            rings: Mutex::default(),
-            gate: ArcSwapOption::empty(),
-            told: AtomicU64::new(0),
-            tally: Tally::default(),
-            links: Links { up, down },
+            // The key window is part of the declaration. Until the first
+            // one is adopted, no key is granted.
+            keys: Mutex::new(KeyTable::new(start, Duration::ZERO, max_keys)),
+            guard_history: Mutex::default(),
+            loaded: ArcSwapOption::empty(),
+            engine_revision: AtomicU64::new(0),
+            in_progress: RequestCounter::default(),
+            links: Links { upload, download },
             progress: Mutex::default(),
-            nudge: Notify::new(),
-            pause: Mutex::new(PauseDetector::new(start)),
+            wake: Notify::new(),
+            pause_detector: Mutex::new(PauseDetector::new(start)),
             settings: settings.clone(),
             node,
         })
     }
 
-    /// Returns what the agent tells others.
+    /// Returns the node, which exchanges reports and documents with peers.
     pub fn node(&self) -> &Arc<Node> {
         &self.node
     }
 
-    /// Has the agent take no new work; what is in progress goes on.
+    /// Stops admitting new requests. Requests in progress continue.
     pub fn leave(&self) {
         self.node.leave();
-        self.gate.store(None);
-        self.nudge.notify_one();
+        self.loaded.store(None);
+        self.wake.notify_one();
     }
 
-    /// Returns the signal to stop listening: told to stop, by its platform or
-    /// by an operator's drain, and nothing in progress.
-    pub(crate) fn stopping(self: &Arc<Agent>, told: Shutdown) -> Shutdown {
+    /// Returns the signal to stop listening. It is sent after `requested` was
+    /// signalled, once no request is in progress.
+    pub(crate) fn stopping(
+        self: &Arc<Agent>,
+        requested: Shutdown,
+    ) -> Shutdown {
         let (stopper, stopping) = Shutdown::new();
         let agent = Arc::clone(self);
         tokio::spawn(async move {
-            told.wait().await;
-            while agent.tally.count() > 0 {
-                agent.tally.idle().await;
+            requested.wait().await;
+            while agent.in_progress.count() > 0 {
+                agent.in_progress.idle().await;
             }
             stopper.stop();
         });
         stopping
     }
 
-    /// Beats for the guard that notices pauses, until the process stops.
-    pub(crate) async fn beat(self: Arc<Agent>, end: Shutdown) {
+    /// Ticks the pause detector until the process stops.
+    pub(crate) async fn run_pause_detector(self: Arc<Agent>, end: Shutdown) {
         let mut timer = tokio::time::interval(PauseDetector::TICK_INTERVAL);
         loop {
             tokio::select! {
@@ -126,16 +135,16 @@
                 () = end.wait() => return,
             }
             let now = self.node.now();
-            lock(&self.pause).tick(now);
+            lock(&self.pause_detector).tick(now);
         }
     }
 
-    /// Returns whether this process stood still and has not loaded what is
-    /// wanted by now: what it holds may be long outdated elsewhere.
+    /// Returns whether this process was paused and has not loaded the assigned
+    /// version since. The version that it holds may be outdated.
     pub(crate) fn is_behind(&self, held: &LoadedTarget) -> bool {
         let now = self.node.now();
-        let mut pause = lock(&self.pause);
-        if !pause.was_paused(now) {
+        let mut detector = lock(&self.pause_detector);
+        if !detector.was_paused(now) {
             return false;
         }
         let view = self.node.view();
@@ -144,7 +153,7 @@
         let model = fleet.and_then(|f| f.model(target.model()));
         let wanted = model.map(|m| m.served_version().name());
         if wanted == Some(target.version()) {
-            pause.caught_up(now);
+            detector.caught_up(now);
             return false;
         }
         true
@@ -162,16 +171,16 @@
         lock(&self.keys)
     }
 
-    pub(crate) fn rings(&self) -> MutexGuard<'_, GuardHistory> {
-        lock(&self.rings)
+    pub(crate) fn guard_history(&self) -> MutexGuard<'_, GuardHistory> {
+        lock(&self.guard_history)
     }
 
     pub(crate) fn progress(&self) -> MutexGuard<'_, Progress> {
         lock(&self.progress)
     }
 
-    /// Keeps a chunk that has been verified on the way in.
-    pub(crate) fn keep(
+    /// Verifies and stores a chunk.
+    pub(crate) fn store_chunk(
         &self,
         digest: Digest,
         bytes: Bytes,
@@ -181,7 +190,7 @@
         Ok(())
     }
 
-    /// Returns the manifests of a target, if all are here.
+    /// Returns the named manifests if all of them are in the store.
     pub(crate) fn manifests(&self, names: &[Digest]) -> Option<Vec<Manifest>> {
         let store = self.store();
         let mut manifests = Vec::new();
@@ -192,13 +201,14 @@
         Some(manifests)
     }
 
-    /// Returns where the agent's own chunks can be read on this instance.
-    pub(crate) fn http(&self) -> SocketAddr {
+    /// Returns the address at which the agent serves its chunks.
+    pub(crate) fn http_addr(&self) -> SocketAddr {
         self.settings.values.address("http")
     }
 }
 
-/// A panic while holding one of these locks leaves whole values.
+/// Locks a mutex even if it is poisoned: a panic while one of these locks is
+/// held leaves a consistent value.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(|e| e.into_inner())
 }
--- a/crates/agent/src/claim.rs
+++ b/crates/agent/src/claim.rs
@@ -1,10 +1,10 @@
-//! Having a key granted before a request that must not repeat runs here.
+//! Claiming the idempotency key of a request that must not run twice.
 //!
-//! The agent that is to run the request claims its key, and not the entry: an
-//! entry frozen with a grant in hand could wake after the key's window and
-//! have the request run a second time (`docs/MODEL.md` has the trace). The
-//! claim is made after the request has arrived, and a lease bounds the time
-//! from there to the backend server.
+//! The key is claimed by the agent that is to run the request, not by the
+//! entry. An entry that is suspended while it holds a grant could resume after
+//! the key's window and cause a second run (`docs/MODEL.md` has the trace).
+//! The agent claims the key after it has received the request, and a lease
+//! limits the time between the claim and sending to the backend server.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,53 +17,56 @@
 
 use crate::Agent;
 
-/// How often a claim is repeated while configurations differ.
-const TRIES: usize = 8;
+/// How many times a claim is sent while the guard's configuration differs.
+const MAX_CLAIMS: usize = 8;
 
-/// The pause before that.
-const PAUSE: Duration = Duration::from_millis(50);
+/// The delay before a claim is repeated.
+const CLAIM_DELAY: Duration = Duration::from_millis(50);
 
-/// When to come back if a guard cannot be reached.
+/// The retry delay returned to the caller if a guard is unreachable.
 const RETRY_AFTER: Duration = Duration::from_secs(5);
 
-/// A key that was granted to an attempt, and until when that may be used.
-pub(crate) struct Held {
+/// A key granted to an attempt, with the lease within which the request must
+/// be sent.
+pub(crate) struct HeldKey {
     key: Key,
     holder: Arc<str>,
     guard: Arc<str>,
     lease: Lease,
 }
 
-impl Held {
-    /// Checks that the grant is fresh enough to be acted on.
-    pub(crate) fn check(&self, agent: &Agent) -> Result<(), Failed> {
+impl HeldKey {
+    /// Checks that the lease of the grant has not expired.
+    pub(crate) fn check_lease(&self, agent: &Agent) -> Result<(), Failed> {
         if self.lease.is_valid(agent.node.now()) {
             return Ok(());
         }
-        let why = format!("the grant of key {} has grown old", self.key);
-        Err(unreachable(&why))
+        let why =
+            format!("the lease of the grant for key {} has expired", self.key);
+        Err(guard_unreachable(&why))
     }
 }
 
 impl Agent {
     /// Claims a key for an attempt from the key's guard.
-    pub(crate) async fn have(
+    pub(crate) async fn claim_key(
         &self,
         key: &Key,
         attempt: &Attempt,
-    ) -> Result<Held, Failed> {
+    ) -> Result<HeldKey, Failed> {
         let holder: Arc<str> = Arc::from(attempt.as_str());
-        for _ in 0..TRIES {
+        for _ in 0..MAX_CLAIMS {
             let view = self.node.view();
             let Some(fleet) = view.fleet.as_ref() else { break };
-            let Some(guard) = self.rings().guard(key) else { break };
-            let span = self.settings.values.millis("lease_ms");
-            let span = span.min(KeyTable::lease_duration(fleet.key_window()));
-            let held = Held {
+            let Some(guard) = self.guard_history().guard(key) else { break };
+            let lease_time = self.settings.values.millis("lease_ms");
+            let lease_time =
+                lease_time.min(KeyTable::lease_duration(fleet.key_window()));
+            let held = HeldKey {
                 key: key.clone(),
                 holder: Arc::clone(&holder),
                 guard: Arc::clone(&guard),
-                lease: Lease::new(self.node.now(), span),
+                lease: Lease::new(self.node.now(), lease_time),
             };
             let ask = ClaimAsk {
                 key: key.clone(),
@@ -75,15 +78,20 @@
                 Ok(self.claim(ask).await)
             } else {
                 let Some(addr) = self.node.control_of(&guard) else {
-                    return Err(unreachable(&format!("no guard {guard}")));
+                    return Err(guard_unreachable(&format!(
+                        "the address of guard {guard} is unknown"
+                    )));
                 };
-                let within = self.settings.values.millis("claim_ms");
-                self.node.wire().claim(addr, within, ask).await
+                let timeout = self.settings.values.millis("claim_ms");
+                self.node.wire().claim(addr, timeout, ask).await
             };
             let Ok(grant) = grant else {
-                // It may have been granted unheard; given back if so.
-                self.give(held, Ran::DidNotRun);
-                return Err(unreachable(&format!("guard {guard}")));
+                // The guard may have granted the key although its answer was
+                // lost, so the key is released.
+                self.settle_key(held, Ran::DidNotRun);
+                return Err(guard_unreachable(&format!(
+                    "guard {guard} did not answer"
+                )));
             };
             let (err, wait) = match grant.result {
                 Ok(()) => return Ok(held),
@@ -91,42 +99,45 @@
             };
             match err.code() {
                 Code::Behind | Code::NotGuard => {
-                    // One of the two has the newer configuration.
+                    // One of the two agents has an older configuration.
+                    // Exchanging reports brings it up to date.
                     if let Some(addr) = self.node.control_of(&guard) {
                         self.node.meet(addr);
                     }
-                    tokio::time::sleep(PAUSE).await;
+                    tokio::time::sleep(CLAIM_DELAY).await;
                 }
                 Code::GuardUnreachable => {
-                    self.give(held, Ran::DidNotRun);
+                    self.settle_key(held, Ran::DidNotRun);
                     return Err(Failed::new(err).with_back(wait));
                 }
                 _ if wait.is_zero() => return Err(Failed::new(err)),
                 _ => return Err(Failed::new(err).with_back(wait)),
             }
         }
-        Err(unreachable("no guard under this configuration"))
+        Err(guard_unreachable(
+            "no guard granted the key under this configuration",
+        ))
     }
 
-    /// Tells a key's guard how the request ended, in the background.
-    pub(crate) fn give(&self, held: Held, ran: Ran) {
-        let Held { key, holder, guard, .. } = held;
+    /// Reports to the key's guard, in the background, whether the request ran.
+    pub(crate) fn settle_key(&self, held: HeldKey, ran: Ran) {
+        let HeldKey { key, holder, guard, .. } = held;
         if guard == self.node.identity().name {
             self.settle(&key, &holder, ran);
             return;
         }
         let Some(addr) = self.node.control_of(&guard) else { return };
         let node = Arc::clone(&self.node);
-        let within = self.settings.values.millis("claim_ms");
+        let timeout = self.settings.values.millis("claim_ms");
         self.node.detach(async move {
-            let told = node.wire().settle(addr, within, key, holder, ran);
-            if let Err(err) = told.await {
-                log::debug!("settle: {err}");
+            let settled = node.wire().settle(addr, timeout, key, holder, ran);
+            if let Err(err) = settled.await {
+                log::debug!("cannot settle a key at its guard: {err}");
             }
         });
     }
 }
 
-fn unreachable(why: &str) -> Failed {
+fn guard_unreachable(why: &str) -> Failed {
     Failed::new(Error::new(Code::GuardUnreachable, why)).with_back(RETRY_AFTER)
 }
--- a/crates/agent/src/control.rs
+++ b/crates/agent/src/control.rs
@@ -1,4 +1,4 @@
-//! What an agent answers to control calls.
+//! The control calls that an agent answers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,13 +15,17 @@
 
 use crate::Agent;
 
-/// How long an earlier guard may take to answer.
-const FORMER: Duration = Duration::from_millis(500);
+/// The timeout for a call to a former guard of a key.
+const FORMER_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl Control for Agent {
     fn exchange(&self, from: Report) -> Report {
         let now = self.node.now();
-        self.rings().record_revision(&from.name, from.config.revision(), now);
+        self.guard_history().record_revision(
+            &from.name,
+            from.config.revision(),
+            now,
+        );
         self.node.hear(from);
         self.node.report()
     }
@@ -49,7 +53,7 @@
 
     fn claim(&self, ask: ClaimAsk) -> BoxFuture<'static, Grant> {
         let revision = self.node.view().revision();
-        let guard = self.rings().guard(&ask.key);
+        let guard = self.guard_history().guard(&ask.key);
         let name = &self.node.identity().name;
         if revision == 0 {
             let why = "the guard has no configuration yet";
@@ -68,14 +72,15 @@
                 return futures::future::ready(grant).boxed();
             }
         }
-        let window = self.window();
+        let window = self.key_window();
         let now = self.node.now();
-        let formers = self.rings().former_guards(&ask.key, name, window, now);
-        if ask.former || formers.is_empty() {
+        let former_guards =
+            self.guard_history().former_guards(&ask.key, name, window, now);
+        if ask.former || former_guards.is_empty() {
             let grant = self.grant(&ask, revision);
             return futures::future::ready(grant).boxed();
         }
-        self.ask_formers(ask, formers, revision)
+        self.ask_former_guards(ask, former_guards, revision)
     }
 
     fn settle(&self, key: &Key, holder: &str, ran: Ran) {
@@ -85,17 +90,24 @@
         self.node.event("request.settle", &fields);
         let name = &self.node.identity().name;
         let now = self.node.now();
-        let formers =
-            self.rings().former_guards(key, name, self.window(), now);
-        for former in formers {
+        let former_guards = self.guard_history().former_guards(
+            key,
+            name,
+            self.key_window(),
+            now,
+        );
+        for former in former_guards {
             let Some(addr) = self.node.control_of(&former) else { continue };
             let node = Arc::clone(&self.node);
             let (key, holder) = (key.clone(), Arc::from(holder));
             self.node.detach(async move {
                 let wire = node.wire();
-                let told = wire.settle(addr, FORMER, key, holder, ran).await;
-                if let Err(err) = told {
-                    log::debug!("settle: {err}");
+                let settled =
+                    wire.settle(addr, FORMER_TIMEOUT, key, holder, ran).await;
+                if let Err(err) = settled {
+                    log::debug!(
+                        "cannot settle a key at a former guard: {err}"
+                    );
                 }
             });
         }
@@ -109,11 +121,11 @@
         let progress = self.progress();
         if *progress.version != *version {
             return vec![format!(
-                "version {version} is not wanted here; wanted: \"{}\"",
+                "version {version} is not assigned here; assigned: \"{}\"",
                 progress.version
             )];
         }
-        let mut lines = progress.drawn.lines();
+        let mut lines = progress.stats.lines();
         lines.extend(progress.lines.iter().cloned());
         lines
     }
@@ -130,7 +142,7 @@
 }
 
 impl Agent {
-    fn window(&self) -> Duration {
+    fn key_window(&self) -> Duration {
         let view = self.node.view();
         view.fleet.as_ref().map_or(Duration::MAX, |f| f.key_window())
     }
@@ -153,21 +165,22 @@
         Grant { result, revision }
     }
 
-    /// Grants a key only if those who guarded it before have not.
-    fn ask_formers(
+    /// Grants a key only if all of its former guards grant it, too.
+    fn ask_former_guards(
         &self,
         ask: ClaimAsk,
-        formers: Vec<Arc<str>>,
+        former_guards: Vec<Arc<str>>,
         revision: u64,
     ) -> BoxFuture<'static, Grant> {
-        // Granted here first: two askers must not both go on to the former.
+        // The key is granted here first, so that of two concurrent claims
+        // only one is passed on to the former guards.
         let own = self.grant(&ask, revision);
         if own.result.is_err() {
             return futures::future::ready(own).boxed();
         }
         let node = Arc::clone(&self.node);
         let mut addrs = Vec::new();
-        for name in formers {
+        for name in former_guards {
             let addr = node.control_of(&name);
             addrs.push((name, addr));
         }
@@ -175,13 +188,13 @@
             let question = ClaimAsk { former: true, ..ask };
             for (name, addr) in addrs {
                 let Some(addr) = addr else {
-                    return unreachable_former(&name, revision);
+                    return former_unreachable(&name, revision);
                 };
                 let question = question.clone();
-                match node.wire().claim(addr, FORMER, question).await {
+                match node.wire().claim(addr, FORMER_TIMEOUT, question).await {
                     Ok(Grant { result: Ok(()), .. }) => {}
                     Ok(refused) => return Grant { revision, ..refused },
-                    Err(_) => return unreachable_former(&name, revision),
+                    Err(_) => return former_unreachable(&name, revision),
                 }
             }
             own
@@ -190,8 +203,8 @@
     }
 }
 
-fn unreachable_former(name: &str, revision: u64) -> Grant {
-    let why = format!("{name}, which guarded this key, cannot be reached");
+fn former_unreachable(name: &str, revision: u64) -> Grant {
+    let why = format!("the key's former guard {name} is unreachable");
     let err = Error::new(Code::GuardUnreachable, why);
     Grant { result: Err((err, Duration::from_secs(5))), revision }
 }
--- a/crates/agent/src/drive.rs
+++ b/crates/agent/src/drive.rs
@@ -1,4 +1,4 @@
-//! The agent's main loop: from what is wanted to orders.
+//! The agent's main loop, which brings the engine to the declared target.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -18,115 +18,118 @@
 use crate::orders::Orders;
 use crate::{engine, fetch};
 
-/// What comes back from the loop's own tasks.
-pub(crate) enum Back {
-    /// A target's chunks are all here, or cannot be.
+/// The result of a task started by the main loop.
+pub(crate) enum TaskResult {
+    /// All chunks of a target were fetched, or the fetch failed.
     Fetched(Target, Result<(), Error>),
-    /// A load order was answered.
+    /// The engine answered a load order, or the order failed.
     Loaded(Target, Result<LoadedTarget, Error>),
-    /// The engine was told of a revision, or could not be.
-    Told(Result<Fence, Error>),
+    /// The engine confirmed a revision, or the order failed.
+    Informed(Result<Fence, Error>),
 }
 
-/// Runs until the process stops.
+/// Runs the main loop until the process stops.
 pub(crate) async fn run(agent: Arc<Agent>, end: Shutdown) {
     let (tx, rx) = mpsc::unbounded_channel();
-    let drive = Drive {
-        life: Lifecycle::new(),
+    let main_loop = MainLoop {
+        lifecycle: Lifecycle::new(),
         orders: Orders::new(&agent),
-        back: tx,
+        results: tx,
         fetching: None,
         loading: None,
         stuck: None,
-        awaits: None,
-        retry: Time::ZERO,
-        adopted: 0,
-        informed: Time::ZERO,
+        waiting_since: None,
+        retry_at: Time::ZERO,
+        adopted_revision: 0,
+        informed_at: Time::ZERO,
         agent,
     };
     tokio::select! {
-        () = drive.run(rx) => {}
+        () = main_loop.run(rx) => {}
         () = end.wait() => {}
     }
 }
 
-struct Drive {
+struct MainLoop {
     agent: Arc<Agent>,
-    life: Lifecycle,
+    lifecycle: Lifecycle,
     orders: Orders,
-    back: mpsc::UnboundedSender<Back>,
+    results: mpsc::UnboundedSender<TaskResult>,
     fetching: Option<JoinHandle<()>>,
     loading: Option<JoinHandle<()>>,
     stuck: Option<Code>,
-    awaits: Option<Time>,
-    retry: Time,
-    adopted: u64,
-    informed: Time,
+    waiting_since: Option<Time>,
+    retry_at: Time,
+    adopted_revision: u64,
+    informed_at: Time,
 }
 
-impl Drive {
-    async fn run(mut self, mut rx: mpsc::UnboundedReceiver<Back>) {
+impl MainLoop {
+    async fn run(mut self, mut rx: mpsc::UnboundedReceiver<TaskResult>) {
         let agent = Arc::clone(&self.agent);
         let mut changes = agent.node.changes();
         let poll = agent.settings.values.millis("poll_ms");
-        let mut looked = Time::ZERO;
+        let mut checked_at = Time::ZERO;
         loop {
-            self.adopt();
+            self.adopt_declaration();
             let target = self.target();
             self.handle(&Event::Wanted(target));
             let now = agent.node.now();
-            if now.since(looked) >= poll {
-                looked = now;
-                self.look().await;
+            if now.since(checked_at) >= poll {
+                checked_at = now;
+                self.check_engine().await;
             }
-            self.turn();
-            if self.life.phase() == Phase::Draining && agent.tally.count() == 0
+            self.check_turn();
+            if self.lifecycle.phase() == Phase::Draining
+                && agent.in_progress.count() == 0
             {
                 self.handle(&Event::Idle);
             }
-            self.tell();
-            let draining = self.life.phase() == Phase::Draining;
+            self.update_report();
+            let draining = self.lifecycle.phase() == Phase::Draining;
             tokio::select! {
-                back = rx.recv() => if let Some(back) = back {
-                    self.back(back);
+                result = rx.recv() => if let Some(result) = result {
+                    self.handle_result(result);
                 },
                 _ = changes.changed() => {}
-                () = agent.nudge.notified() => {}
-                () = agent.tally.idle(), if draining => {}
+                () = agent.wake.notified() => {}
+                () = agent.in_progress.idle(), if draining => {}
                 () = tokio::time::sleep(poll) => {}
             }
         }
     }
 
-    /// Takes over what a new declaration says of keys and guards.
-    fn adopt(&mut self) {
+    /// Applies the key window and the key guards of a new declaration.
+    fn adopt_declaration(&mut self) {
         let view = self.agent.node.view();
         let Some(fleet) = &view.fleet else { return };
-        if fleet.revision() == self.adopted {
+        if fleet.revision() == self.adopted_revision {
             return;
         }
-        self.adopted = fleet.revision();
+        self.adopted_revision = fleet.revision();
         let now = self.agent.node.now();
-        self.agent.rings().adopt(GuardSet::from_fleet(fleet), now);
+        self.agent.guard_history().adopt(GuardSet::from_fleet(fleet), now);
         let (start, window) = (self.agent.start, fleet.key_window());
         self.agent.keys().set_window(start, window);
         let ms = window.as_millis().to_string();
         self.agent.node.event("guard.window", &[("window_ms", &ms)]);
-        self.inform();
+        self.inform_engine();
     }
 
-    /// Tells the engine which revision is in force.
-    fn inform(&mut self) {
+    /// Sends the current revision to the engine.
+    fn inform_engine(&mut self) {
         if self.agent.settings.plain {
-            // A plain service takes no orders and remembers none.
-            self.agent.told.store(self.adopted, Ordering::SeqCst);
+            // A plain service accepts no orders and stores no fence.
+            self.agent
+                .engine_revision
+                .store(self.adopted_revision, Ordering::SeqCst);
             return;
         }
-        self.informed = self.agent.node.now();
-        let order = self.orders.tell(&self.agent);
-        let back = self.back.clone();
+        self.informed_at = self.agent.node.now();
+        let order = self.orders.inform(&self.agent);
+        let results = self.results.clone();
         tokio::spawn(async move {
-            let _ = back.send(Back::Told(order.await));
+            let _ = results.send(TaskResult::Informed(order.await));
         });
     }
 
@@ -149,15 +152,16 @@
     }
 
     fn handle(&mut self, event: &Event) {
-        let actions = self.life.handle(event);
-        // The gate closes before anything else happens, or opens below.
-        if self.life.serving().is_none() {
-            self.agent.gate.store(None);
+        let actions = self.lifecycle.handle(event);
+        // The gate is closed before any of the actions is started. It is
+        // opened only after a load was confirmed.
+        if self.lifecycle.serving().is_none() {
+            self.agent.loaded.store(None);
         }
         for action in actions {
             match action {
                 Action::Fetch(target) => self.fetch(target),
-                Action::StopFetching => self.stop(),
+                Action::StopFetching => self.stop_fetching(),
                 Action::Load(target) => self.load(target),
                 Action::Unload => self.unload(),
             }
@@ -165,18 +169,18 @@
     }
 
     fn fetch(&mut self, target: Target) {
-        self.stop();
+        self.stop_fetching();
         self.stuck = None;
         let agent = Arc::clone(&self.agent);
-        let back = self.back.clone();
+        let results = self.results.clone();
         self.fetching = Some(tokio::spawn(async move {
             let done = fetch::run(&agent, &target).await;
-            // The loop may have ended.
-            let _ = back.send(Back::Fetched(target, done));
+            // The receiver is gone if the main loop has ended.
+            let _ = results.send(TaskResult::Fetched(target, done));
         }));
     }
 
-    fn stop(&mut self) {
+    fn stop_fetching(&mut self) {
         if let Some(task) = self.fetching.take() {
             task.abort();
         }
@@ -184,15 +188,15 @@
 
     fn load(&mut self, target: Target) {
         let now = self.agent.node.now();
-        let wait = self.retry.since(now);
+        let wait = self.retry_at.since(now);
         let order = self.orders.load(&self.agent, target.clone(), wait);
-        let back = self.back.clone();
+        let results = self.results.clone();
         if let Some(task) = self.loading.take() {
             task.abort();
         }
         self.loading = Some(tokio::spawn(async move {
             let done = order.await;
-            let _ = back.send(Back::Loaded(target, done));
+            let _ = results.send(TaskResult::Loaded(target, done));
         }));
     }
 
@@ -200,48 +204,48 @@
         let order = self.orders.unload(&self.agent);
         tokio::spawn(async move {
             if let Err(err) = order.await {
-                log::warn!("unload: {err}");
+                log::warn!("the engine did not unload: {err}");
             }
         });
     }
 
-    fn back(&mut self, back: Back) {
-        match back {
-            Back::Fetched(target, Ok(())) => {
+    fn handle_result(&mut self, result: TaskResult) {
+        match result {
+            TaskResult::Fetched(target, Ok(())) => {
                 self.stuck = None;
-                self.prune();
+                self.prune_chunks();
                 self.handle(&Event::Fetched(target));
             }
-            Back::Fetched(_, Err(err)) => {
-                log::warn!("fetch: {err}");
+            TaskResult::Fetched(_, Err(err)) => {
+                log::warn!("cannot fetch the weights: {err}");
                 self.stuck = Some(err.code());
             }
-            Back::Loaded(target, Ok(bound)) => {
+            TaskResult::Loaded(target, Ok(bound)) => {
                 self.stuck = None;
-                self.note_told(bound.fence());
+                self.record_revision(bound.fence());
                 self.handle(&Event::Loaded(target.clone()));
-                if self.life.serving() == Some(&target)
+                if self.lifecycle.serving() == Some(&target)
                     && !self.agent.node.leaving()
                 {
-                    self.agent.gate.store(Some(Arc::new(bound)));
+                    self.agent.loaded.store(Some(Arc::new(bound)));
                 }
             }
-            Back::Told(Ok(fence)) => self.note_told(fence),
-            Back::Told(Err(err)) => log::debug!("told: {err}"),
-            Back::Loaded(_, Err(err)) => {
-                log::warn!("load: {err}");
+            TaskResult::Informed(Ok(fence)) => self.record_revision(fence),
+            TaskResult::Informed(Err(err)) => log::debug!("role order: {err}"),
+            TaskResult::Loaded(_, Err(err)) => {
+                log::warn!("the engine did not load the target: {err}");
                 self.stuck = Some(err.code());
                 let now = self.agent.node.now();
                 let pause = self.agent.settings.values.millis("poll_ms");
-                self.retry = now.after(pause);
+                self.retry_at = now.after(pause);
                 self.handle(&Event::LoadFailed);
             }
         }
     }
 
-    /// Looks whether the engine still has what it was given, under the fence
-    /// that it was given it.
-    async fn look(&mut self) {
+    /// Checks that the engine still holds the loaded target, under the fence
+    /// of its load order.
+    async fn check_engine(&mut self) {
         let agent = Arc::clone(&self.agent);
         if agent.settings.plain {
             return;
@@ -249,68 +253,73 @@
         let addr = agent.settings.backend;
         let state = engine::state(agent.node.client(), addr).await;
         let Ok(state) = state else {
-            if self.life.phase() == Phase::Serving {
+            if self.lifecycle.phase() == Phase::Serving {
                 self.stuck = Some(Code::EngineLost);
                 self.handle(&Event::EngineLost);
             }
             return;
         };
-        self.orders.seen(&state);
-        self.again(&state);
-        if self.life.phase() != Phase::Serving {
+        self.orders.check_superseded(&state);
+        self.repeat_inform(&state);
+        if self.lifecycle.phase() != Phase::Serving {
             return;
         }
-        let held = agent.gate.load();
+        let held = agent.loaded.load();
         let holds = held.as_ref().is_some_and(|b| {
             b.fence() == state.loaded
                 && b.target().manifests() == state.manifests
         });
-        // No gate while serving means that this process is leaving.
+        // If the gate is closed while serving, this process is leaving.
         if held.is_some() && !holds {
             agent.node.event("serving.engine_lost", &[]);
             self.handle(&Event::EngineLost);
         }
     }
 
-    /// Takes note that the engine has taken an order under a fence.
+    /// Records that the engine accepted an order with this fence.
     ///
-    /// Orders may overtake one another. The engine then refuses the earlier
-    /// one, and has learned its revision from the later one.
-    fn note_told(&self, fence: Fence) {
-        self.agent.told.fetch_max(fence.revision(), Ordering::SeqCst);
+    /// Orders may arrive out of order. The engine then refuses the earlier
+    /// one, and has the revision from the later one.
+    fn record_revision(&self, fence: Fence) {
+        self.agent
+            .engine_revision
+            .fetch_max(fence.revision(), Ordering::SeqCst);
     }
 
-    /// Tells the engine again if an earlier attempt failed or it forgot.
-    fn again(&mut self, state: &engine::State) {
+    /// Sends the revision to the engine again if an earlier attempt failed or
+    /// the engine has lost it.
+    fn repeat_inform(&mut self, state: &engine::State) {
         if state.fence.incarnation() == self.agent.node.incarnation() {
-            self.note_told(state.fence);
+            self.record_revision(state.fence);
         }
         let poll = self.agent.settings.values.millis("poll_ms");
-        let waited = self.agent.node.now().since(self.informed) >= poll;
-        if state.fence.revision() < self.adopted && waited {
-            self.inform();
+        let waited = self.agent.node.now().since(self.informed_at) >= poll;
+        if state.fence.revision() < self.adopted_revision && waited {
+            self.inform_engine();
         }
     }
 
-    /// Says when it is this agent's turn to switch: the first half of a
-    /// hall's replicas at once, the others when these serve the new version,
-    /// or when they take too long.
-    fn turn(&mut self) {
-        if !self.life.awaits_turn() {
-            self.awaits = None;
+    /// Allows the switch to a new version when it is this agent's turn.
+    ///
+    /// The first half of a data hall's replicas switches at once. The second
+    /// half waits until the first half serves the new version, at most for
+    /// the `turn_ms` setting.
+    fn check_turn(&mut self) {
+        if !self.lifecycle.awaits_turn() {
+            self.waiting_since = None;
             return;
         }
         let now = self.agent.node.now();
-        let since = *self.awaits.get_or_insert(now);
-        let most = self.agent.settings.values.millis("turn_ms");
-        if now.since(since) >= most || self.first_half_done() {
+        let since = *self.waiting_since.get_or_insert(now);
+        let max_wait = self.agent.settings.values.millis("turn_ms");
+        if now.since(since) >= max_wait || self.first_half_done() {
             self.handle(&Event::Turn);
         }
     }
 
     fn first_half_done(&self) -> bool {
         let node = &self.agent.node;
-        let Some(wanted) = self.life.wanted() else { return true };
+        let Some(wanted) = self.lifecycle.wanted() else { return true };
         let view = node.view();
         let Some(fleet) = &view.fleet else { return true };
         let halls = agents_by_hall(fleet, &view.listing, wanted.model());
@@ -324,30 +333,30 @@
         if first.contains(&me.name) {
             return true;
         }
-        let mut waits = Vec::new();
+        let mut waiting = Vec::new();
         for name in first {
             let peers = node.peers();
             let done = peers.get(name).is_some_and(|heard| {
                 let report = &heard.report;
                 let serves = report.serves(wanted.model())
                     && report.version == *wanted.version();
-                // One that leaves will never switch.
+                // An agent that is leaving never switches.
                 serves || report.leaves()
             });
             if !done {
-                waits.push(Arc::clone(name));
+                waiting.push(Arc::clone(name));
             }
         }
-        for name in &waits {
+        for name in &waiting {
             if let Some(addr) = node.control_of(name) {
                 node.meet(addr);
             }
         }
-        waits.is_empty()
+        waiting.is_empty()
     }
 
-    /// Drops chunks that no declared version here needs any more.
-    fn prune(&self) {
+    /// Removes chunks that no declared version uses.
+    fn prune_chunks(&self) {
         let view = self.agent.node.view();
         let Some(fleet) = &view.fleet else { return };
         let mut keep: HashSet<Digest> = HashSet::new();
@@ -366,9 +375,9 @@
         self.agent.store().retain(&keep);
     }
 
-    fn tell(&self) {
+    fn update_report(&self) {
         let node = &self.agent.node;
-        node.carry(self.agent.tally.count());
+        node.carry(self.agent.in_progress.count());
         if self.agent.settings.plain {
             let view = node.view();
             let me = &node.identity().name;
@@ -381,11 +390,11 @@
             node.stand(phase.as_str(), (name, ""), (1000, 0), None);
             return;
         }
-        let named = self.life.serving().or(self.life.wanted());
+        let named = self.lifecycle.serving().or(self.lifecycle.wanted());
         let (model, version): (&str, &str) =
             named.map_or(("", ""), |t| (t.model(), t.version()));
-        let (share, rate) = self.agent.pace();
-        let state = self.life.phase().as_str();
+        let (share, rate) = self.agent.fetch_rate();
+        let state = self.lifecycle.phase().as_str();
         node.stand(state, (model, version), (share, rate), self.stuck);
     }
 }
--- a/crates/agent/src/fetch.rs
+++ b/crates/agent/src/fetch.rs
@@ -1,4 +1,4 @@
-//! Drawing the chunks of a target.
+//! Fetching the chunks of a target from peers and the origin.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -20,43 +20,45 @@
 
 use crate::agent::Agent;
 use crate::engine;
-use crate::weights::{Question, unpack};
+use crate::weights::{Question, decode_bits};
 
-/// How long to wait before looking again when nobody can be asked.
-const PAUSE: Duration = Duration::from_millis(50);
+/// The interval at which the puller is polled for new requests.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The largest manifest.
-const MOST_MANIFEST: u32 = 2 << 20;
+/// The maximum size of a manifest, in bytes.
+const MAX_MANIFEST_BYTES: u32 = 2 << 20;
 
-/// What a source answered.
+/// A source's answer to a chunk request.
 enum Answer {
     Chunk(Digest, Bytes),
     NotYet,
 }
 
-/// What a source answered, and what it says that it holds.
-struct Answered {
+/// A source's answer, with the chunks that it reports to hold.
+struct SourceAnswer {
     answer: Answer,
     held: Option<Vec<bool>>,
 }
 
-/// Draws all chunks of a target, manifests first.
+/// Fetches all chunks of a target, starting with the manifests.
 pub(crate) async fn run(
     agent: &Arc<Agent>,
     target: &Target,
 ) -> Result<(), Error> {
-    agent.begin(target);
+    agent.reset_progress(target);
     if engine_holds(agent, target).await {
-        agent.note("the engine holds it already; nothing is fetched");
+        agent.add_note(
+            "the engine has already loaded this version; nothing to fetch",
+        );
         return Ok(());
     }
     let manifests = target.manifests();
-    let mut heads = Vec::new();
+    let mut manifest_chunks = Vec::new();
     for digest in manifests {
-        // The size of a manifest is not declared; its digest is.
-        heads.push(Chunk::with_digest(*digest, MOST_MANIFEST));
+        // A declaration has only the digest of a manifest, not its size.
+        manifest_chunks.push(Chunk::with_digest(*digest, MAX_MANIFEST_BYTES));
     }
-    draw(agent, target, &heads, &[]).await?;
+    fetch_chunks(agent, target, &manifest_chunks, &[]).await?;
     let mut chunks = Vec::new();
     let mut size = 0;
     for digest in manifests {
@@ -67,7 +69,7 @@
         chunks.extend_from_slice(manifest.chunks());
     }
     agent.store().check_fits(size)?;
-    draw(agent, target, &chunks, manifests).await
+    fetch_chunks(agent, target, &chunks, manifests).await
 }
 
 async fn engine_holds(agent: &Agent, target: &Target) -> bool {
@@ -76,73 +78,78 @@
     state.is_ok_and(|s| s.manifests == target.manifests())
 }
 
-async fn draw(
+async fn fetch_chunks(
     agent: &Arc<Agent>,
     target: &Target,
     chunks: &[Chunk],
     manifests: &[Digest],
 ) -> Result<(), Error> {
-    let mut puller = puller(agent, target, chunks);
-    let mut asked = FuturesUnordered::new();
+    let mut puller = new_puller(agent, target, chunks);
+    let mut pending = FuturesUnordered::new();
     let mut bytes_in = 0u64;
     let start = Instant::now();
     while !puller.is_complete() {
         let now = agent.node.now();
         for ask in puller.poll(now) {
-            asked.push(one(Arc::clone(agent), ask, manifests.to_vec()));
+            pending.push(request_chunk(
+                Arc::clone(agent),
+                ask,
+                manifests.to_vec(),
+            ));
         }
-        if asked.is_empty() {
-            tokio::time::sleep(PAUSE).await;
+        if pending.is_empty() {
+            tokio::time::sleep(POLL_INTERVAL).await;
             continue;
         }
-        let timer = tokio::time::sleep(PAUSE);
+        let timer = tokio::time::sleep(POLL_INTERVAL);
         let done = tokio::select! {
-            done = asked.next() => done,
+            done = pending.next() => done,
             () = timer => None,
         };
         let Some((source, answered)) = done else { continue };
-        let got = take(agent, &mut puller, &source, answered);
+        let got = record_answer(agent, &mut puller, &source, answered);
         bytes_in += got;
         let share = puller.held_permille();
         let secs = start.elapsed().as_secs_f64().max(0.001);
-        agent.paced(share, (bytes_in as f64 / secs / 1000.0) as u32);
+        agent.record_rate(share, (bytes_in as f64 / secs / 1000.0) as u32);
     }
     Ok(())
 }
 
-fn puller(agent: &Agent, target: &Target, chunks: &[Chunk]) -> Puller {
+fn new_puller(agent: &Agent, target: &Target, chunks: &[Chunk]) -> Puller {
     let node = &agent.node;
     let view = node.view();
     let me = node.identity();
     let mut halls = Vec::new();
     let mut budget = 1;
-    let mut patience = agent.settings.patience();
+    let mut limits = agent.settings.fetch_timeouts();
     if let Some(fleet) = &view.fleet {
         halls = agents_by_hall(fleet, &view.listing, target.model());
         budget = fleet.origin_budget();
-        patience = patience.preferring(fleet.prefer());
+        limits = limits.preferring(fleet.prefer());
     }
     let mut subject = Vec::new();
     for digest in target.manifests() {
         subject.extend_from_slice(digest.as_bytes());
     }
-    let walk =
+    let ranking =
         SourceRanking::new(&subject, &halls, &me.hall, &me.name, budget);
     let strategy = agent.settings.values.text("strategy");
-    let walk = match &*strategy {
-        "direct" => walk.direct(),
-        "tree" => walk.tree(),
-        _ => walk,
+    let ranking = match &*strategy {
+        "direct" => ranking.direct(),
+        "tree" => ranking.tree(),
+        _ => ranking,
     };
-    let turn = rank::score(&subject, &me.name) as usize % chunks.len().max(1);
-    Puller::new(walk, chunks, patience, turn, |d| agent.store().contains(d))
+    let offset =
+        rank::score(&subject, &me.name) as usize % chunks.len().max(1);
+    Puller::new(ranking, chunks, limits, offset, |d| agent.store().contains(d))
 }
 
-fn take(
+fn record_answer(
     agent: &Agent,
     puller: &mut Puller,
     source: &Source,
-    answered: Result<Answered, Error>,
+    answered: Result<SourceAnswer, Error>,
 ) -> u64 {
     let now = agent.node.now();
     let name = source.name();
@@ -150,9 +157,9 @@
         Ok(answered) => answered,
         Err(err) => {
             if err.code() == Code::CorruptChunk {
-                agent.node.metrics().spoiled(kind(source));
+                agent.node.metrics().spoiled(source_label(source));
             }
-            agent.note(&format!("left {name}: {err}"));
+            agent.add_note(&format!("source {name} failed: {err}"));
             let code = err.code().to_string();
             let fields = [("from", name), ("code", code.as_str())];
             agent.node.event("weights.failed", &fields);
@@ -171,26 +178,26 @@
         Answer::Chunk(digest, bytes) => (digest, bytes),
     };
     let size = bytes.len() as u64;
-    match agent.keep(digest, bytes) {
+    match agent.store_chunk(digest, bytes) {
         Ok(()) => {
             puller.record_chunk(source, &digest);
-            agent.node.metrics().received(kind(source), size);
-            agent.drew(name);
+            agent.node.metrics().received(source_label(source), size);
+            agent.count_chunk(name);
             size
         }
         Err(err) => {
             if err.code() == Code::CorruptChunk {
-                agent.node.metrics().spoiled(kind(source));
+                agent.node.metrics().spoiled(source_label(source));
             }
-            agent.note(&format!("left {name}: {err}"));
+            agent.add_note(&format!("source {name} failed: {err}"));
             puller.record_failure(source, now);
             0
         }
     }
 }
 
-/// The word for a source in metrics.
-fn kind(source: &Source) -> &'static str {
+/// Returns the metric label of a source.
+fn source_label(source: &Source) -> &'static str {
     match source {
         Source::Near(_) => "near",
         Source::Far(_) => "far",
@@ -198,53 +205,57 @@
     }
 }
 
-async fn one(
+async fn request_chunk(
     agent: Arc<Agent>,
     ask: ChunkRequest,
     manifests: Vec<Digest>,
-) -> (Source, Result<Answered, Error>) {
+) -> (Source, Result<SourceAnswer, Error>) {
     let source = ask.source().clone();
     let answered = match &source {
-        Source::Origin => origin(&agent, &ask).await,
+        Source::Origin => request_from_origin(&agent, &ask).await,
         Source::Near(name) | Source::Far(name) => {
-            peer(&agent, name, &ask, &manifests).await
+            request_from_peer(&agent, name, &ask, &manifests).await
         }
     };
     (source, answered)
 }
 
-async fn origin(agent: &Agent, ask: &ChunkRequest) -> Result<Answered, Error> {
-    let none = || Error::new(Code::NoSource, "no origin in the settings");
+async fn request_from_origin(
+    agent: &Agent,
+    ask: &ChunkRequest,
+) -> Result<SourceAnswer, Error> {
+    let none = || Error::new(Code::NoSource, "the settings name no origin");
     let addr = agent.settings.origin.ok_or_else(none)?;
     let digest = *ask.want().first().ok_or_else(none)?;
     let request = Request::get(format!("/blobs/{digest}"))
         .body(empty())
         .map_err(|e| Error::new(Code::Internal, e))?;
-    let within = agent.settings.stall();
+    let timeout = agent.settings.stall_timeout();
     let response = agent
         .node
         .client()
-        .send(addr, request, within)
+        .send(addr, request, timeout)
         .await
         .map_err(|e| Error::new(Code::NoSource, e))?;
     let status = response.status().as_u16();
     if status != 200 {
-        let why = format!("origin answers {status} for {digest}");
+        let why = format!("the origin answered status {status} for {digest}");
         return Err(Error::new(Code::NoSource, why));
     }
-    let bytes = body(agent, response).await?;
-    Ok(Answered { answer: Answer::Chunk(digest, bytes), held: None })
+    let bytes = read_chunk(agent, response).await?;
+    Ok(SourceAnswer { answer: Answer::Chunk(digest, bytes), held: None })
 }
 
-async fn peer(
+async fn request_from_peer(
     agent: &Agent,
     name: &str,
     ask: &ChunkRequest,
     manifests: &[Digest],
-) -> Result<Answered, Error> {
+) -> Result<SourceAnswer, Error> {
     let view = agent.node.view();
     let found = view.listing.get(name).map(|i| i.http);
-    let gone = || Error::new(Code::NoSource, format!("{name} is not listed"));
+    let gone =
+        || Error::new(Code::NoSource, format!("{name} is not in the listing"));
     let addr = found.ok_or_else(gone)?;
     let asked = if ask.is_first_contact() { manifests } else { &[] };
     let question = Question {
@@ -257,70 +268,73 @@
     let request: Request<Body> = Request::post("/weights/any")
         .body(full(json))
         .map_err(|e| Error::new(Code::Internal, e))?;
-    let within = agent.settings.stall() + ask.hold();
+    let timeout = agent.settings.stall_timeout() + ask.hold();
     let response = agent
         .node
         .client()
-        .send(addr, request, within)
+        .send(addr, request, timeout)
         .await
         .map_err(|e| Error::new(Code::NoSource, e))?;
     let text = |header| {
         let value = response.headers().get(header)?;
         value.to_str().ok().map(ToString::to_string)
     };
-    let held = text(headers::HELD).map(|t| unpack(&t));
+    let held = text(headers::HELD).map(|t| decode_bits(&t));
     let digest = text(headers::DIGEST);
     let answer = match response.status().as_u16() {
         204 => Answer::NotYet,
         200 => {
             let digest: Digest = digest.unwrap_or_default().parse()?;
             if !ask.want().contains(&digest) {
-                let why = format!("{name} sent {digest}, not asked for");
+                let why =
+                    format!("{name} sent {digest}, which was not requested");
                 return Err(Error::new(Code::CorruptChunk, why));
             }
-            Answer::Chunk(digest, body(agent, response).await?)
+            Answer::Chunk(digest, read_chunk(agent, response).await?)
         }
         other => {
-            let why = format!("{name} answers {other}");
+            let why = format!("{name} answered status {other}");
             return Err(Error::new(Code::NoSource, why));
         }
     };
-    Ok(Answered { answer, held })
+    Ok(SourceAnswer { answer, held })
 }
 
-/// Reads a chunk, as long as it makes progress, over the shaped link.
-async fn body(
+/// Reads a chunk over the rate-limited link. Fails if no data arrives within
+/// the stall timeout.
+async fn read_chunk(
     agent: &Agent,
     response: Response<Incoming>,
 ) -> Result<Bytes, Error> {
-    let stall = agent.settings.stall();
+    let stall = agent.settings.stall_timeout();
     let mut incoming = response.into_body();
     let mut bytes = BytesMut::new();
     loop {
         let frame = tokio::time::timeout(stall, incoming.frame()).await;
         let frame = frame.map_err(|_| {
             let ms = stall.as_millis();
-            Error::new(Code::Stalled, format!("no byte for {ms} ms"))
+            Error::new(Code::Stalled, format!("no data received for {ms} ms"))
         })?;
         let Some(frame) = frame else { break };
         let frame = frame.map_err(|e| Error::new(Code::NoSource, e))?;
         if let Ok(data) = frame.into_data() {
-            agent.links.down.take(data.len() as u64).await;
+            agent.links.download.take(data.len() as u64).await;
             bytes.extend_from_slice(&data);
         }
     }
     Ok(bytes.freeze())
 }
 
-/// Counts where chunks came from, for `explain`.
+/// The number of chunks from each source, with the fetched share (per mille)
+/// and the rate (KB/s).
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Drawn {
+pub(crate) struct FetchStats {
     counts: HashMap<String, u32>,
     share: u32,
     rate: u32,
 }
 
-impl Drawn {
+impl FetchStats {
     pub(crate) fn lines(&self) -> Vec<String> {
         let mut names: Vec<_> = self.counts.iter().collect();
         names.sort();
@@ -338,37 +352,37 @@
 }
 
 impl Agent {
-    /// The most notes that are kept of one version's way here.
-    const MOST_NOTES: usize = 100;
+    /// The maximum number of notes kept about the fetch of one version.
+    const MAX_NOTES: usize = 100;
 
-    fn begin(&self, target: &Target) {
+    fn reset_progress(&self, target: &Target) {
         let mut progress = self.progress();
         progress.version = Arc::clone(target.version());
         progress.lines.clear();
-        progress.drawn = Drawn::default();
+        progress.stats = FetchStats::default();
     }
 
-    fn note(&self, line: &str) {
+    fn add_note(&self, line: &str) {
         let mut progress = self.progress();
-        if progress.lines.len() < Agent::MOST_NOTES {
+        if progress.lines.len() < Agent::MAX_NOTES {
             progress.lines.push(line.to_string());
         }
     }
 
-    fn drew(&self, source: &str) {
+    fn count_chunk(&self, source: &str) {
         let mut progress = self.progress();
-        *progress.drawn.counts.entry(source.to_string()).or_default() += 1;
+        *progress.stats.counts.entry(source.to_string()).or_default() += 1;
     }
 
-    fn paced(&self, share: u32, rate: u32) {
+    fn record_rate(&self, share: u32, rate: u32) {
         let mut progress = self.progress();
-        progress.drawn.share = share;
-        progress.drawn.rate = rate;
+        progress.stats.share = share;
+        progress.stats.rate = rate;
     }
 
-    /// Returns share (per mille) and rate (KB/s) of the newest draw.
-    pub(crate) fn pace(&self) -> (u32, u32) {
+    /// Returns the share (per mille) and rate (KB/s) of the latest fetch.
+    pub(crate) fn fetch_rate(&self) -> (u32, u32) {
         let progress = self.progress();
-        (progress.drawn.share, progress.drawn.rate)
+        (progress.stats.share, progress.stats.rate)
     }
 }
--- a/crates/agent/src/gate.rs
+++ b/crates/agent/src/gate.rs
@@ -1,4 +1,4 @@
-//! The gate: which requests are admitted to the backend server.
+//! The admission of requests to the backend server.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -19,13 +19,13 @@
 };
 
 use crate::agent::Agent;
-use crate::proxy::{Pass, Started};
+use crate::proxy::{OutgoingRequest, StartedAttempt};
 
-/// What a request that goes through the gate is for.
+/// The destination of an admitted request.
 enum Purpose {
-    /// The model engine, under what it has loaded.
+    /// The model engine, with the target that it has loaded.
     Model(Arc<LoadedTarget>),
-    /// The plain service, under this path.
+    /// The plain service, with the path and query of the request.
     Service(String),
 }
 
@@ -46,16 +46,16 @@
                 "/weights/any" => {
                     let limits = Limits::of(&self.settings.values);
                     match read(body, limits.body, limits.body_time).await {
-                        Ok(json) => Arc::clone(&self).any(&json).await,
+                        Ok(json) => Arc::clone(&self).any_chunk(&json).await,
                         Err(err) => Err(err.into()),
                     }
                 }
                 _ => match path.strip_prefix("/chunks/") {
-                    Some(digest) => self.chunk(digest),
-                    None => self.pass(parts, body).await,
+                    Some(digest) => self.engine_chunk(digest),
+                    None => self.forward(parts, body).await,
                 },
             };
-            answered.unwrap_or_else(|failed| self.refused(&failed))
+            answered.unwrap_or_else(|failed| self.error_response(&failed))
         }
         .boxed()
     }
@@ -72,54 +72,59 @@
         answer(status, format!("{{\"state\":\"{}\"}}", self.node.state()))
     }
 
-    /// A failure's answer, with what the entry should know of this agent.
-    fn refused(&self, failed: &Failed) -> Response<Body> {
+    /// Returns the response to a failed request, with this agent's load and
+    /// revision for the entry.
+    fn error_response(&self, failed: &Failed) -> Response<Body> {
         let mut response = failed.response();
-        self.stamp(&mut response);
+        self.add_state_headers(&mut response);
         response
     }
 
-    /// Marks an answer with load and revision.
-    pub(crate) fn stamp(&self, response: &mut Response<Body>) {
+    /// Adds the agent's load, revision and incarnation to a response.
+    pub(crate) fn add_state_headers(&self, response: &mut Response<Body>) {
         let map = response.headers_mut();
-        map.insert(headers::LOAD, HeaderValue::from(self.tally.count()));
+        map.insert(headers::LOAD, HeaderValue::from(self.in_progress.count()));
         let revision = self.node.view().revision();
         map.insert(headers::REVISION, HeaderValue::from(revision));
         let incarnation = self.node.incarnation();
         map.insert(headers::INCARNATION, HeaderValue::from(incarnation));
     }
 
-    /// Takes a request through the gate.
-    async fn pass(
+    /// Admits a request and forwards it to the backend server.
+    async fn forward(
         self: &Arc<Agent>,
         parts: Parts,
         body: Incoming,
     ) -> Result<Response<Body>, Failed> {
         let start = Instant::now();
-        let attempt = Attempt::received(&text(&parts, headers::ATTEMPT)?);
-        let incarnation = number(&parts, headers::INCARNATION)?;
-        let revision = number(&parts, headers::REVISION)?;
+        let attempt =
+            Attempt::received(&header_text(&parts, headers::ATTEMPT)?);
+        let incarnation = header_number(&parts, headers::INCARNATION)?;
+        let revision = header_number(&parts, headers::REVISION)?;
         let limits = Limits::of(&self.settings.values);
         let body = read(body, limits.body, limits.body_time).await?;
-        // Counted before the gate is read: see `Tally::enter`.
-        let entered = self.tally.enter();
+        // Counted before the gate is read: see `RequestCounter::enter`.
+        let counted = self.in_progress.enter();
         if self.node.leaving() {
-            let why = "this agent takes no new work";
+            let why = "this agent is leaving and admits no new requests";
             return Err(Error::new(Code::Leaving, why).into());
         }
-        let mine = self.node.view().revision();
-        if revision != mine {
-            if revision > mine
+        let current = self.node.view().revision();
+        if revision != current {
+            if revision > current
                 && let Some(addr) = self.node.control_of(attempt.entry())
             {
-                // The entry has a newer configuration to hand over.
+                // Fetches the newer configuration from the entry.
                 self.node.meet(addr);
             }
-            let why = format!("revision {revision}, in force here: {mine}");
+            let why = format!(
+                "request has revision {revision}; this agent has {current}"
+            );
             return Err(Error::new(Code::Behind, why).into());
         }
-        if self.told.load(Ordering::SeqCst) < mine {
-            let why = format!("the engine has not been told of {mine} yet");
+        if self.engine_revision.load(Ordering::SeqCst) < current {
+            let why =
+                format!("the engine has not confirmed revision {current} yet");
             return Err(Error::new(Code::Behind, why).into());
         }
         let purpose = self.purpose(&parts)?;
@@ -127,14 +132,14 @@
         let now = self.node.now();
         self.attempts().admit(&attempt, incarnation, now)?;
         let mut started =
-            Started::new(Arc::clone(self), attempt, entered, start);
-        started.suspect(suspect);
-        let pass = self.outgoing(&parts, &purpose, &started, body);
-        let pass = pass.map_err(|f| started.failed(f))?;
-        if let Some(key) = guarded(&parts) {
-            started.hold(&key).await?;
+            StartedAttempt::new(Arc::clone(self), attempt, counted, start);
+        started.set_suspect(suspect);
+        let outgoing = self.outgoing_request(&parts, &purpose, &started, body);
+        let outgoing = outgoing.map_err(|f| started.failed(f))?;
+        if let Some(key) = guarded_key(&parts) {
+            started.claim_key(&key).await?;
         }
-        pass.run(started).await
+        outgoing.run(started).await
     }
 
     fn purpose(&self, parts: &Parts) -> Result<Purpose, Failed> {
@@ -146,7 +151,7 @@
             let backend = view.fleet.as_ref().and_then(|f| f.backend(me));
             let service = backend.and_then(|b| b.service());
             if service.is_none_or(|s| **s != *name) {
-                let why = format!("service {name} is not behind this agent");
+                let why = format!("this agent does not serve service {name}");
                 return Err(Error::new(Code::NotServing, why).into());
             }
             let inner = &rest[name.len()..];
@@ -156,31 +161,32 @@
             return Ok(Purpose::Service(format!("{inner}{query}")));
         }
         if path != "/v1/chat/completions" {
-            let why = format!("nothing at {path}");
+            let why = format!("no resource at {path}");
             return Err(Error::new(Code::UnknownPath, why).into());
         }
-        let model = text(parts, headers::MODEL)?;
-        let bound = self.gate.load_full();
+        let model = header_text(parts, headers::MODEL)?;
+        let bound = self.loaded.load_full();
         let bound = bound.filter(|b| **b.target().model() == *model);
         let bound = bound.ok_or_else(|| {
             let state = self.node.state();
-            let why = format!("model {model}: this agent is {state}");
+            let why =
+                format!("model {model} is not served; this agent is {state}");
             Error::new(Code::NotServing, why)
         })?;
         if self.is_behind(&bound) {
-            let why = "this agent stood still and has not caught up";
+            let why = "this agent was paused and has not caught up";
             return Err(Error::new(Code::NotServing, why).into());
         }
         Ok(Purpose::Model(bound))
     }
 
-    fn outgoing(
+    fn outgoing_request(
         &self,
         parts: &Parts,
         purpose: &Purpose,
-        started: &Started,
+        started: &StartedAttempt,
         body: Bytes,
-    ) -> Result<Pass, Failed> {
+    ) -> Result<OutgoingRequest, Failed> {
         let (method, path, bound) = match purpose {
             Purpose::Model(bound) => {
                 let path = "/v1/chat/completions".to_string();
@@ -209,12 +215,12 @@
             Failed::new(Error::new(Code::BadHeader, e))
                 .with_ran(Ran::DidNotRun)
         })?;
-        Ok(Pass { request, bound })
+        Ok(OutgoingRequest { request, bound })
     }
 }
 
-/// The key that must be granted before the request may run.
-fn guarded(parts: &Parts) -> Option<Key> {
+/// Returns the key that must be granted before the request may run.
+fn guarded_key(parts: &Parts) -> Option<Key> {
     let value = |name| {
         let value = parts.headers.get(name)?;
         value.to_str().ok()
@@ -225,14 +231,14 @@
     value(headers::KEY).map(Key::received)
 }
 
-fn text(parts: &Parts, name: &str) -> Result<String, Failed> {
+fn header_text(parts: &Parts, name: &str) -> Result<String, Failed> {
     let value = parts.headers.get(name).and_then(|v| v.to_str().ok());
     let missing = || Error::new(Code::BadHeader, format!("{name} is missing"));
     Ok(value.ok_or_else(missing)?.to_string())
 }
 
-fn number(parts: &Parts, name: &str) -> Result<u64, Failed> {
-    let value = text(parts, name)?;
+fn header_number(parts: &Parts, name: &str) -> Result<u64, Failed> {
+    let value = header_text(parts, name)?;
     let parsed = value.parse();
     parsed.map_err(|_| {
         Error::range(name, format_args!("\"{value}\""), "a number").into()
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,8 +1,9 @@
-//! The agent: the gate in front of one backend server.
+//! The agent, which controls access to one backend server.
 //!
-//! It takes the one slot on a backend server's instance. It fetches, verifies
-//! and passes on weights, orders its engine, admits requests for what the
-//! engine has loaded, and guards its share of the keys.
+//! One agent runs on the instance of each backend server. It fetches and
+//! verifies weights and serves them to its peers, sends orders to its engine,
+//! admits requests for the version that the engine has loaded, and grants
+//! the idempotency keys that are assigned to it.
 
 mod agent;
 mod claim;
@@ -14,8 +15,8 @@
 mod orders;
 mod poison;
 mod proxy;
+mod request_counter;
 mod settings;
-mod tally;
 mod weights;
 
 pub use self::agent::Agent;
@@ -31,11 +32,11 @@
 use stairhinge_shell::node::{Identity, Node, wall};
 use stairhinge_shell::{Shutdown, Slot, http};
 
-/// Runs an agent until it is told to stop and all its requests have ended.
+/// Runs an agent until shutdown is requested and all its requests have ended.
 ///
 /// # Errors
 ///
-/// If its listeners cannot be taken over.
+/// If the runtime cannot use its listening sockets.
 pub async fn run(
     settings: Settings,
     slot: Slot,
@@ -54,11 +55,11 @@
     node.wire().serve(control, served, end.clone())?;
     node.run(&end);
     tokio::spawn(drive::run(Arc::clone(&agent), end.clone()));
-    tokio::spawn(Arc::clone(&agent).beat(end.clone()));
+    tokio::spawn(Arc::clone(&agent).run_pause_detector(end.clone()));
     let leaving = Arc::clone(&agent);
-    let told = shutdown.clone();
+    let requested = shutdown.clone();
     tokio::spawn(async move {
-        told.wait().await;
+        requested.wait().await;
         leaving.leave();
     });
     let limits = http::Limits::of(&settings.values);
@@ -67,7 +68,8 @@
     Ok(())
 }
 
-/// The fence that the engine holds; of one that is silent now, none.
+/// Returns the fence that the engine holds, or the default fence for a plain
+/// service or an engine that does not answer.
 async fn fence(settings: &Settings) -> Fence {
     if settings.plain {
         return Fence::default();
--- a/crates/agent/src/orders.rs
+++ b/crates/agent/src/orders.rs
@@ -1,4 +1,4 @@
-//! Fenced orders to the engine.
+//! Orders to the engine, with fencing tokens.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 use crate::agent::Agent;
 use crate::engine::{self, Load, State};
 
-/// Makes fenced orders, each under a higher fence than the one before.
+/// Creates orders to the engine, each with a higher fence than the last.
 pub(crate) struct Orders {
     fence: Fence,
 }
@@ -20,15 +20,15 @@
         Orders { fence: Fence::new(agent.node.incarnation()) }
     }
 
-    /// Takes note of an engine's state. A higher fence there means that a
-    /// later agent orders this engine; this one must not outbid it.
-    pub(crate) fn seen(&self, state: &State) {
+    /// Warns if the engine has accepted orders of a later agent. This agent
+    /// must not use a higher fence than that one.
+    pub(crate) fn check_superseded(&self, state: &State) {
         if state.fence.incarnation() > self.fence.incarnation() {
-            log::warn!("the engine is ordered by a later agent");
+            log::warn!("the engine has accepted orders from a later agent");
         }
     }
 
-    /// Returns the order to load a target, to be sent after a wait.
+    /// Returns the order to load a target, which is sent after `wait`.
     pub(crate) fn load(
         &mut self,
         agent: &Arc<Agent>,
@@ -36,28 +36,28 @@
         wait: Duration,
     ) -> impl Future<Output = Result<LoadedTarget, Error>> + Send + 'static
     {
-        let first = self.fence.is_first();
+        let is_first_order = self.fence.is_first();
         self.fence = self.fence.next(agent.node.view().revision());
         let fence = self.fence;
         let agent = Arc::clone(agent);
         async move {
-            let span = agent.settings.values.millis("lease_ms");
+            let lease_time = agent.settings.values.millis("lease_ms");
             let wait = match agent.checks_fences() {
-                // What the agent before this one decided may still be on its
-                // way for as long as a lease.
-                false if first => wait.max(span),
+                // An order of the previous agent may still arrive for the
+                // duration of a lease.
+                false if is_first_order => wait.max(lease_time),
                 _ => wait,
             };
             tokio::time::sleep(wait).await;
-            let lease = Lease::new(agent.node.now(), span);
+            let lease = Lease::new(agent.node.now(), lease_time);
             let load = Load {
                 model: Arc::clone(target.model()),
                 version: Arc::clone(target.version()),
                 manifests: target.manifests().to_vec(),
                 chunks: chunks(&agent, &target),
-                source: agent.http(),
+                source: agent.http_addr(),
             };
-            check(&agent, lease)?;
+            check_lease(&agent, lease)?;
             let client = agent.node.client();
             let addr = agent.settings.backend;
             engine::load(client, addr, fence, &load).await?;
@@ -65,13 +65,13 @@
         }
     }
 
-    /// Returns the order that tells the engine of a revision, with the fence
-    /// that it was given under.
+    /// Returns the order that sends the current revision to the engine, and
+    /// resolves to the fence of the order.
     ///
-    /// An agent that restarts has forgotten which declaration was in force
-    /// here; the engine's fence tells it. So nothing is admitted under a
-    /// revision before the engine has been told of it.
-    pub(crate) fn tell(
+    /// A restarted agent does not know which declaration it had applied, and
+    /// reads the revision back from the engine's fence. Therefore no request
+    /// is admitted under a revision before the engine has confirmed it.
+    pub(crate) fn inform(
         &mut self,
         agent: &Arc<Agent>,
     ) -> impl Future<Output = Result<Fence, Error>> + Send + 'static {
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Returns the order to drop what the engine holds.
+    /// Returns the order to unload the engine's target.
     pub(crate) fn unload(
         &mut self,
         agent: &Arc<Agent>,
@@ -93,10 +93,10 @@
         self.fence = self.fence.next(agent.node.view().revision());
         let fence = self.fence;
         let agent = Arc::clone(agent);
-        let span = agent.settings.values.millis("lease_ms");
-        let lease = Lease::new(agent.node.now(), span);
+        let lease_time = agent.settings.values.millis("lease_ms");
+        let lease = Lease::new(agent.node.now(), lease_time);
         async move {
-            check(&agent, lease)?;
+            check_lease(&agent, lease)?;
             let client = agent.node.client();
             engine::unload(client, agent.settings.backend, fence).await
         }
@@ -104,7 +104,7 @@
 }
 
 impl Agent {
-    /// Whether the backend server is declared to check who orders it.
+    /// Returns whether the backend server is declared to check fences.
     fn checks_fences(&self) -> bool {
         let view = self.node.view();
         let me = &self.node.identity().name;
@@ -113,21 +113,20 @@
     }
 }
 
-/// Not every engine checks fences, so a decision that has grown old, in a
-/// process that was frozen, is not sent.
-fn check(agent: &Agent, lease: Lease) -> Result<(), Error> {
+/// Checks that the lease of an order has not expired.
+///
+/// Not every engine checks fences, so a process that was suspended must not
+/// send an order that it decided before the suspension.
+fn check_lease(agent: &Agent, lease: Lease) -> Result<(), Error> {
     if lease.is_valid(agent.node.now()) {
         return Ok(());
     }
-    Err(Error::new(
-        Code::EngineRefused,
-        "the decision is older than its lease",
-    ))
+    Err(Error::new(Code::EngineRefused, "the lease of the order has expired"))
 }
 
 fn chunks(agent: &Agent, target: &Target) -> Vec<stairhinge::Digest> {
     let mut digests = Vec::new();
-    // Without manifests the engine must hold the target already.
+    // If manifests are missing, the engine has already loaded the target.
     for manifest in agent.manifests(target.manifests()).unwrap_or_default() {
         digests.extend(manifest.chunks().iter().map(|c| c.digest()));
     }
--- a/crates/agent/src/poison.rs
+++ b/crates/agent/src/poison.rs
@@ -1,9 +1,10 @@
-//! Requests that end the backend server.
+//! Detection of requests that crash the backend server.
 //!
-//! The agent stays while its backend server ends, so it is the one to see
-//! under which requests that happened. Whether a request is sent, and tried
-//! again, is the entry's to decide; the agent refuses what its entry has not
-//! heard of. What both know of a request is what an end is counted on.
+//! The agent keeps running when its backend server's process ends, so it
+//! records which requests were in progress at the time. The entry decides
+//! whether a request is sent and retried. The agent refuses a request on
+//! suspicions that its entry did not know of, so that an end of the process is
+//! counted from a suspicion that both of them knew.
 
 use std::time::Duration;
 
@@ -15,11 +16,12 @@
 
 use crate::Agent;
 
-/// Within which the backend server's instance, which is the agent's own, says
-/// that nobody listens any more.
-const WITHIN: Duration = Duration::from_millis(200);
+/// The timeout for a connection attempt that checks whether the backend server
+/// still listens. It runs on the agent's own instance.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// A request at the backend server, and what was known of it at its admission.
+/// A request sent to the backend server, and the suspicion against it when it
+/// was admitted.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Suspect {
     request: Fingerprint,
@@ -27,8 +29,8 @@
 }
 
 impl Agent {
-    /// Admits a request that does not end backend servers as far as known.
-    /// One whose entry does not name what it asks is not looked after.
+    /// Admits a request unless it is quarantined. A request without a
+    /// fingerprint from its entry is admitted and not tracked.
     ///
     /// # Errors
     ///
@@ -66,16 +68,17 @@
         }
     }
 
-    /// Looks at the backend server after it brought no whole answer.
-    pub(crate) async fn examine(&self, suspect: Option<Suspect>) {
+    /// Checks whether the backend server's process has ended, after a request
+    /// without a complete answer.
+    pub(crate) async fn check_backend(&self, suspect: Option<Suspect>) {
         let Some(suspect) = suspect else { return };
-        if is_refused(self.settings.backend, WITHIN).await {
+        if is_refused(self.settings.backend, PROBE_TIMEOUT).await {
             self.node.ended_under(suspect.request, suspect.sent);
         }
     }
 
-    /// Takes note of a whole answer.
-    pub(crate) fn answered(&self, suspect: Option<Suspect>) {
+    /// Records a complete answer.
+    pub(crate) fn record_whole_answer(&self, suspect: Option<Suspect>) {
         if let Some(suspect) = suspect {
             self.node.answered_whole(suspect.request);
         }
--- a/crates/agent/src/proxy.rs
+++ b/crates/agent/src/proxy.rs
@@ -1,4 +1,4 @@
-//! Passing one admitted request to the backend server, and its answer back.
+//! Forwarding an admitted request to the backend server, and its answer back.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -17,35 +17,36 @@
 use tokio::sync::mpsc;
 
 use crate::agent::Agent;
-use crate::claim::Held;
+use crate::claim::HeldKey;
 use crate::poison::Suspect;
-use crate::tally::Entered;
+use crate::request_counter::CountedRequest;
 
-/// The end of a whole streamed answer.
-const DONE: &[u8] = b"data: [DONE]\n\n";
+/// The final event of a complete streamed answer.
+const FINAL_EVENT: &[u8] = b"data: [DONE]\n\n";
 
-/// An admitted attempt. Dropped before its end is known, it may have run.
-pub(crate) struct Started {
+/// An admitted attempt. If it is dropped before its outcome is known, it is
+/// recorded as one that may have run.
+pub(crate) struct StartedAttempt {
     agent: Arc<Agent>,
     attempt: Attempt,
     ran: Ran,
     code: u16,
     start: Instant,
-    held: Option<Held>,
+    held: Option<HeldKey>,
     suspect: Option<Suspect>,
-    _entered: Entered,
+    _counted: CountedRequest,
 }
 
-impl Started {
+impl StartedAttempt {
     pub(crate) fn new(
         agent: Arc<Agent>,
         attempt: Attempt,
-        entered: Entered,
+        counted: CountedRequest,
         start: Instant,
-    ) -> Started {
+    ) -> StartedAttempt {
         let ran = Ran::MayHaveRun;
         let code = Code::LostBackend.number();
-        Started {
+        StartedAttempt {
             agent,
             attempt,
             ran,
@@ -53,24 +54,26 @@
             start,
             held: None,
             suspect: None,
-            _entered: entered,
+            _counted: counted,
         }
     }
 
-    /// Names the request, so that an end of the backend server counts on it.
-    pub(crate) fn suspect(&mut self, suspect: Option<Suspect>) {
+    /// Sets the request that an end of the backend server's process is counted
+    /// on.
+    pub(crate) fn set_suspect(&mut self, suspect: Option<Suspect>) {
         self.suspect = suspect;
     }
 
-    /// Has a key granted to this attempt.
-    pub(crate) async fn hold(&mut self, key: &Key) -> Result<(), Failed> {
-        match self.agent.have(key, &self.attempt).await {
+    /// Claims a key for this attempt.
+    pub(crate) async fn claim_key(&mut self, key: &Key) -> Result<(), Failed> {
+        match self.agent.claim_key(key, &self.attempt).await {
             Ok(held) => {
                 self.held = Some(held);
                 Ok(())
             }
             Err(failed) => {
-                // Whoever holds the key: this attempt did not run.
+                // This attempt did not run, even if another one that holds
+                // the key did. The caller is told about the other one.
                 let said = failed.ran();
                 let failed = self.failed(failed.with_ran(Ran::DidNotRun));
                 Err(failed.with_ran(said))
@@ -78,10 +81,10 @@
         }
     }
 
-    /// The last look before a request goes to the backend server.
-    fn check(&self) -> Result<(), Failed> {
+    /// Checks the lease of the key right before the request is sent.
+    fn check_lease(&self) -> Result<(), Failed> {
         match &self.held {
-            Some(held) => held.check(&self.agent),
+            Some(held) => held.check_lease(&self.agent),
             None => Ok(()),
         }
     }
@@ -97,12 +100,12 @@
     }
 }
 
-impl Drop for Started {
+impl Drop for StartedAttempt {
     fn drop(&mut self) {
         let now = self.agent.node.now();
         self.agent.attempts().end(&self.attempt, self.ran, now);
         if let Some(held) = self.held.take() {
-            self.agent.give(held, self.ran);
+            self.agent.settle_key(held, self.ran);
         }
         let secs = self.start.elapsed().as_secs_f64();
         self.agent.node.metrics().answered(self.code, secs);
@@ -112,21 +115,21 @@
     }
 }
 
-/// A request ready for the backend server.
-pub(crate) struct Pass {
+/// A request to be sent to the backend server.
+pub(crate) struct OutgoingRequest {
     pub(crate) request: Request<Body>,
     pub(crate) bound: Option<Arc<LoadedTarget>>,
 }
 
-impl Pass {
+impl OutgoingRequest {
     pub(crate) async fn run(
         self,
-        mut started: Started,
+        mut started: StartedAttempt,
     ) -> Result<Response<Body>, Failed> {
         let agent = Arc::clone(&started.agent);
         let idle = agent.settings.values.millis("engine_ms");
         let addr = agent.settings.backend;
-        started.check().map_err(|f| started.failed(f))?;
+        started.check_lease().map_err(|f| started.failed(f))?;
         let sent = agent.node.client().send(addr, self.request, idle).await;
         let response = match sent {
             Ok(response) => response,
@@ -136,34 +139,36 @@
                     CallError::Silent(_) => Ran::MayHaveRun,
                 };
                 if ran == Ran::MayHaveRun {
-                    agent.examine(started.suspect).await;
+                    agent.check_backend(started.suspect).await;
                 }
                 let err = Error::new(Code::EngineLost, err);
                 return Err(started.failed(Failed::new(err).with_ran(ran)));
             }
         };
         if let Some(bound) = &self.bound {
-            check(&response, bound).map_err(|f| started.failed(f))?;
+            check_target(&response, bound).map_err(|f| started.failed(f))?;
         }
-        let mut answer = head(&response, self.bound.as_deref());
-        agent.stamp(&mut answer);
+        let mut answer = response_head(&response, self.bound.as_deref());
+        agent.add_state_headers(&mut answer);
         let streamed = response
             .headers()
             .get(CONTENT_TYPE)
             .is_some_and(|v| v.as_bytes().starts_with(b"text/event-stream"));
         let (tx, rx) = mpsc::channel(8);
-        let pump = Pump { idle, streamed, tx };
-        tokio::spawn(pump.run(response.into_body(), started));
+        let forwarder = BodyForwarder { idle, streamed, tx };
+        tokio::spawn(forwarder.run(response.into_body(), started));
         *answer.body_mut() = stream(rx);
         Ok(answer)
     }
 }
 
-/// Checks that an engine answers from what it was bound to.
+/// Checks that an engine answered with the target that the request is bound
+/// to.
 ///
-/// An engine that checks fences refuses with 409 what it was not bound to;
-/// one that does not has run it, and the answer is withheld.
-fn check(
+/// An engine that checks fences refuses a request bound to another target with
+/// status 409. One that does not has run the request, and its answer is
+/// discarded.
+fn check_target(
     response: &Response<Incoming>,
     bound: &LoadedTarget,
 ) -> Result<(), Failed> {
@@ -173,11 +178,14 @@
     };
     let status = response.status();
     if status.as_u16() == 409 {
-        let err = Error::new(Code::NotServing, "the engine holds another");
+        let err = Error::new(
+            Code::NotServing,
+            "the engine has loaded another target",
+        );
         return Err(Failed::new(err));
     }
     if status.as_u16() == 429 || status.as_u16() == 503 {
-        let err = Error::new(Code::Overloaded, "the engine is full");
+        let err = Error::new(Code::Overloaded, "the engine is overloaded");
         return Err(Failed::new(err).with_back(Duration::from_secs(1)));
     }
     let version = text(headers::ENGINE_VERSION).unwrap_or_default();
@@ -187,12 +195,13 @@
     }
     let (want, under) = (bound.target().version(), bound.fence());
     let why =
-        format!("answer from {version} under {fence}, bound: {want} {under}");
+        format!("answer from {version} {fence}; expected {want} {under}");
     Err(Failed::new(Error::new(Code::WrongVersion, why)))
 }
 
-/// The head of the answer: the backend server's, less what is between hops.
-fn head(
+/// Returns the head of the answer: the backend server's status and
+/// end-to-end headers.
+fn response_head(
     response: &Response<Incoming>,
     bound: Option<&LoadedTarget>,
 ) -> Response<Body> {
@@ -213,62 +222,63 @@
     answer
 }
 
-/// Moves an answer's bytes from the backend server to the entry.
-struct Pump {
+/// Forwards the body of an answer from the backend server to the entry.
+struct BodyForwarder {
     idle: Duration,
     streamed: bool,
     tx: mpsc::Sender<Result<Bytes, BodyError>>,
 }
 
-impl Pump {
-    async fn run(self, body: Incoming, mut started: Started) {
-        match self.whole(body).await {
+impl BodyForwarder {
+    async fn run(self, body: Incoming, mut started: StartedAttempt) {
+        match self.forward_body(body).await {
             Ok(()) => {
                 started.ran = Ran::Ran;
                 started.code = 0;
-                started.agent.answered(started.suspect);
+                started.agent.record_whole_answer(started.suspect);
             }
             Err(err) => {
                 started.ran = Ran::Ran;
                 started.code = Code::AnswerBroke.number();
                 if !self.tx.is_closed() {
-                    started.agent.examine(started.suspect).await;
+                    started.agent.check_backend(started.suspect).await;
                 }
-                // If the entry has gone there is nobody left to tell.
+                // The receiver is gone if the entry has disconnected.
                 let _ = self.tx.send(Err(err)).await;
             }
         }
     }
 
-    /// Moves all bytes; an error if the answer is not whole or the entry has
-    /// gone. Dropping the body then cancels the backend server's work.
-    async fn whole(&self, mut body: Incoming) -> Result<(), BodyError> {
+    /// Forwards the whole body. Fails if the answer is incomplete or the entry
+    /// has disconnected; dropping the body then cancels the work of the
+    /// backend server.
+    async fn forward_body(&self, mut body: Incoming) -> Result<(), BodyError> {
         let mut tail: Vec<u8> = Vec::new();
         loop {
             let next = tokio::select! {
                 next = tokio::time::timeout(self.idle, body.frame()) => next,
                 () = self.tx.closed() => {
-                    return Err(BodyError("the entry has gone".into()));
+                    return Err(BodyError("the entry disconnected".into()));
                 }
             };
-            let silent = |_| BodyError("the backend server is silent".into());
+            let silent = |_| BodyError("the backend server timed out".into());
             let Some(frame) = next.map_err(silent)? else { break };
             let frame = frame.map_err(|e| BodyError(e.to_string()))?;
             let Ok(data) = frame.into_data() else { continue };
             keep_tail(&mut tail, &data);
-            let gone = |_| BodyError("the entry has gone".into());
+            let gone = |_| BodyError("the entry disconnected".into());
             self.tx.send(Ok(data)).await.map_err(gone)?;
         }
-        if self.streamed && tail != DONE {
-            return Err(BodyError("the stream ended before its end".into()));
+        if self.streamed && tail != FINAL_EVENT {
+            return Err(BodyError("the stream ended without [DONE]".into()));
         }
         Ok(())
     }
 }
 
 fn keep_tail(tail: &mut Vec<u8>, data: &[u8]) {
-    let start = data.len().saturating_sub(DONE.len());
+    let start = data.len().saturating_sub(FINAL_EVENT.len());
     tail.extend_from_slice(&data[start..]);
-    let over = tail.len().saturating_sub(DONE.len());
+    let over = tail.len().saturating_sub(FINAL_EVENT.len());
     tail.drain(..over);
 }
--- a/crates/agent/src/settings.rs
+++ b/crates/agent/src/settings.rs
@@ -8,7 +8,7 @@
 use stairhinge::weights::FetchTimeouts;
 use stairhinge_shell::settings::{Field, Shape, Values, common};
 
-/// Returns the table of all fields of an agent's settings.
+/// Returns the descriptions of all settings of an agent.
 pub fn table() -> Vec<Field> {
     let mut table = common().to_vec();
     table.extend([
@@ -96,7 +96,8 @@
             "turn_ms",
             (15_000, 0, 3_600_000),
             "ms",
-            "How long the second half of a hall waits for the first to switch.",
+            "How long the second half of a hall waits for the first to \
+             switch.",
         ),
         Field::number(
             "claim_ms",
@@ -123,20 +124,20 @@
 /// The checked settings of an agent.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// All values.
+    /// The values of all settings.
     pub values: Values,
-    /// Where the engine or plain service answers.
+    /// The address of the engine or plain service.
     pub backend: SocketAddr,
     /// Whether the backend server is a plain service.
     pub plain: bool,
-    /// Where the origin of weights answers.
+    /// The address of the origin of weights.
     pub origin: Option<SocketAddr>,
     /// The instance's name.
     pub name: Arc<str>,
 }
 
 impl Settings {
-    /// Returns the settings of checked values.
+    /// Returns the settings with the given checked values.
     pub fn new(values: Values) -> Settings {
         Settings {
             backend: values.address("backend"),
@@ -151,21 +152,21 @@
     ///
     /// # Errors
     ///
-    /// All faults at once.
+    /// All faults of the text, not only the first.
     pub fn parse(text: &str) -> Result<Settings, Faults> {
         Values::parse(text, &table()).map(Settings::new)
     }
 
-    /// Returns how long sources of chunks are put up with.
-    pub fn patience(&self) -> FetchTimeouts {
+    /// Returns the timeouts for sources of chunks.
+    pub fn fetch_timeouts(&self) -> FetchTimeouts {
         FetchTimeouts::new()
             .with_hold(self.values.millis("hold_ms"))
             .with_not_yet_limit(self.values.millis("waiting_ms"))
             .with_suspicion(self.values.millis("suspect_ms"))
     }
 
-    /// Returns the span without a byte that ends a transfer.
-    pub fn stall(&self) -> Duration {
+    /// Returns the time without data after which a transfer is stopped.
+    pub fn stall_timeout(&self) -> Duration {
         self.values.millis("stall_ms")
     }
 }
--- a/crates/agent/src/weights.rs
+++ b/crates/agent/src/weights.rs
@@ -1,4 +1,4 @@
-//! Passing chunks on to peers, and to the engine beside.
+//! Serving chunks to peers and to the local engine.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,37 +12,37 @@
 
 use crate::agent::Agent;
 
-/// A peer's question for any of some chunks.
+/// A peer's request for any one of the wanted chunks.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) struct Question {
     pub(crate) want: Vec<Digest>,
     pub(crate) hold_ms: u64,
-    /// Manifests of whose chunks the answer is to say which are held.
+    /// Manifests for whose chunks the answer reports which are held.
     pub(crate) manifests: Vec<Digest>,
 }
 
-/// The longest that a question may wait here, whatever it says.
-const MOST_HOLD: Duration = Duration::from_secs(60);
+/// The upper limit on the wait time that a request may ask for.
+const MAX_HOLD: Duration = Duration::from_secs(60);
 
 impl Agent {
-    /// Answers a question as soon as one of the chunks is here.
-    pub(crate) async fn any(
+    /// Answers a request as soon as one of the wanted chunks is in the store.
+    pub(crate) async fn any_chunk(
         self: Arc<Agent>,
         json: &[u8],
     ) -> Result<Response<Body>, Failed> {
         let question: Question = serde_json::from_slice(json)
             .map_err(|e| Error::new(Code::MalformedJson, e))?;
-        let hold = Duration::from_millis(question.hold_ms).min(MOST_HOLD);
+        let hold = Duration::from_millis(question.hold_ms).min(MAX_HOLD);
         let found =
-            tokio::time::timeout(hold, self.await_any(&question)).await;
-        let found = found.ok().or_else(|| self.find(&question));
+            tokio::time::timeout(hold, self.await_chunk(&question)).await;
+        let found = found.ok().or_else(|| self.find_chunk(&question));
         let mut response = match found {
-            Some((digest, bytes)) => self.send(digest, bytes).await,
-            // It may never come here: this agent may not have heard of the
-            // version yet, or may have no need of it. The asker has patience.
-            None => status(StatusCode::NO_CONTENT),
+            Some((digest, bytes)) => self.chunk_response(digest, bytes).await,
+            // The chunk may never arrive: this agent may not know the version
+            // yet, or may not need it. The peer limits how long it asks.
+            None => empty_response(StatusCode::NO_CONTENT),
         };
-        if let Some(held) = self.held(&question.manifests)
+        if let Some(held) = self.holdings(&question.manifests)
             && let Ok(value) = HeaderValue::from_str(&held)
         {
             response.headers_mut().insert(headers::HELD, value);
@@ -50,11 +50,11 @@
         Ok(response)
     }
 
-    async fn await_any(&self, question: &Question) -> (Digest, Bytes) {
+    async fn await_chunk(&self, question: &Question) -> (Digest, Bytes) {
         let mut arrived = self.arrived.subscribe();
         loop {
             arrived.mark_unchanged();
-            if let Some(found) = self.find(question) {
+            if let Some(found) = self.find_chunk(question) {
                 return found;
             }
             if arrived.changed().await.is_err() {
@@ -63,7 +63,7 @@
         }
     }
 
-    fn find(&self, question: &Question) -> Option<(Digest, Bytes)> {
+    fn find_chunk(&self, question: &Question) -> Option<(Digest, Bytes)> {
         let store = self.store();
         for digest in &question.want {
             if let Some(bytes) = store.get(digest) {
@@ -73,14 +73,14 @@
         None
     }
 
-    async fn send(
+    async fn chunk_response(
         self: &Arc<Agent>,
         digest: Digest,
         bytes: Bytes,
     ) -> Response<Body> {
         let size = bytes.len() as u64;
         let mut response =
-            Response::new(shaped(bytes, vec![self.links.up.clone()]));
+            Response::new(shaped(bytes, vec![self.links.upload.clone()]));
         let value = HeaderValue::from_str(&digest.to_string());
         if let Ok(value) = value {
             response.headers_mut().insert(headers::DIGEST, value);
@@ -89,7 +89,7 @@
         response
     }
 
-    fn held(&self, manifests: &[Digest]) -> Option<String> {
+    fn holdings(&self, manifests: &[Digest]) -> Option<String> {
         if manifests.is_empty() {
             return None;
         }
@@ -104,29 +104,33 @@
                 }
             }
         }
-        Some(pack(&bits))
+        Some(encode_bits(&bits))
     }
 
-    /// Answers the engine beside this agent, which reads what it loads.
-    pub(crate) fn chunk(&self, text: &str) -> Result<Response<Body>, Failed> {
+    /// Returns a chunk to the local engine, which reads the target that it
+    /// loads.
+    pub(crate) fn engine_chunk(
+        &self,
+        text: &str,
+    ) -> Result<Response<Body>, Failed> {
         let digest: Digest = text.parse()?;
         let held = self.store().get(&digest);
         let bytes = held.ok_or_else(|| {
-            let why = format!("chunk {digest} is not here");
+            let why = format!("chunk {digest} is not in the store");
             Failed::new(Error::new(Code::UnknownPath, why))
         })?;
         Ok(Response::new(full(bytes)))
     }
 }
 
-fn status(status: StatusCode) -> Response<Body> {
+fn empty_response(status: StatusCode) -> Response<Body> {
     let mut response = Response::new(empty());
     *response.status_mut() = status;
     response
 }
 
-/// Writes bits as hexadecimal digits, four to each.
-fn pack(bits: &[bool]) -> String {
+/// Encodes bits as hexadecimal digits, four bits each, lowest bit first.
+fn encode_bits(bits: &[bool]) -> String {
     let mut out = String::new();
     for four in bits.chunks(4) {
         let mut digit = 0;
@@ -138,8 +142,9 @@
     out
 }
 
-/// Reads bits from hexadecimal digits; the last few may be padding.
-pub(crate) fn unpack(text: &str) -> Vec<bool> {
+/// Decodes bits from hexadecimal digits. Up to three bits at the end are
+/// padding.
+pub(crate) fn decode_bits(text: &str) -> Vec<bool> {
     let mut bits = Vec::new();
     for c in text.chars() {
         let digit = c.to_digit(16).unwrap_or_default();
