--- a/crates/entry/src/control.rs
+++ b/crates/entry/src/control.rs
@@ -1,4 +1,4 @@
-//! What an entry answers to control calls.
+//! Answers control calls to an entry.
 
 use std::sync::Arc;
 
@@ -33,8 +33,8 @@
         self.node.hear_poison(from)
     }
 
-    /// An entry runs nothing, so no attempt is sent to it; it knows nothing
-    /// of any, and says so.
+    /// No attempts are sent to an entry, so it has no record of one and can't
+    /// rule out that it ran.
     fn revoke(&self, _: &Attempt, _: u64) -> Ran {
         Ran::MayHaveRun
     }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,10 +1,10 @@
 //! The entry: takes callers' requests and picks a backend server for each.
 //!
-//! It stands behind the platform's balancer and keeps nothing that must last.
-//! A request is read whole, admitted by workspace and priority, given to an
-//! agent that serves its model or plain service, and its answer streamed
-//! back. What may be tried again, and where, is decided by
-//! [`stairhinge::request::RequestRetry`].
+//! It runs behind the platform's load balancer and stores no durable state.
+//! It reads a request completely, admits it by workspace and priority, sends
+//! it to an agent that serves its model or plain service, and streams the
+//! answer back. [`stairhinge::request::RequestRetry`] decides whether a failed
+//! request may be attempted again.
 
 mod admit;
 mod answer;
@@ -28,11 +28,11 @@
 use stairhinge_shell::node::{Identity, Node, wall};
 use stairhinge_shell::{Shutdown, Slot};
 
-/// Runs an entry until it is told to stop and all its requests have ended.
+/// Runs an entry until `shutdown` and the end of all its requests.
 ///
 /// # Errors
 ///
-/// If its listeners cannot be taken over.
+/// If the runtime can't take over the listeners of `slot`.
 pub async fn run(
     settings: Settings,
     slot: Slot,
@@ -44,15 +44,15 @@
     let node = Node::new(identity, wall(), 0, wire);
     let entry = Entry::new(Arc::clone(&node), &settings);
     let (stopper, end) = Shutdown::new();
-    let served = Arc::clone(&entry);
-    node.wire().serve(control, served, end.clone())?;
+    let control_handler = Arc::clone(&entry);
+    node.wire().serve(control, control_handler, end.clone())?;
     node.run(&end);
-    tokio::spawn(ready(Arc::clone(&node)));
-    let leaving = Arc::clone(&node);
-    let told = shutdown.clone();
+    tokio::spawn(report_ready(Arc::clone(&node)));
+    let leaving_node = Arc::clone(&node);
+    let stopping = shutdown.clone();
     tokio::spawn(async move {
-        told.wait().await;
-        leaving.leave();
+        stopping.wait().await;
+        leaving_node.leave();
     });
     let limits = Limits::of(&settings.values);
     serve(listener, limits, shutdown, entry).await;
@@ -60,8 +60,8 @@
     Ok(())
 }
 
-/// Reports that the entry takes requests, once it has a declaration.
-async fn ready(node: Arc<Node>) {
+/// Reports the entry as ready once it has a declaration.
+async fn report_ready(node: Arc<Node>) {
     let mut changes = node.changes();
     while node.view().fleet.is_none() {
         if changes.changed().await.is_err() {
--- a/crates/entry/src/main.rs
+++ b/crates/entry/src/main.rs
@@ -1,4 +1,4 @@
-//! `stairhinge-entry`: the process that takes callers' requests.
+//! The `stairhinge-entry` program, which takes callers' requests.
 
 use std::path::PathBuf;
 
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -3,7 +3,7 @@
 use stairhinge::declaration::Faults;
 use stairhinge_shell::settings::{Field, Values, common};
 
-/// Returns the table of all fields of an entry's settings.
+/// Returns all fields of an entry's settings.
 pub fn table() -> Vec<Field> {
     let mut table = common().to_vec();
     table.extend([
@@ -90,15 +90,15 @@
     table
 }
 
-/// The checked settings of an entry.
+/// An entry's settings, checked.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// All values.
+    /// The values of all fields.
     pub values: Values,
 }
 
 impl Settings {
-    /// Returns the settings of checked values.
+    /// Wraps values that have been checked.
     pub fn new(values: Values) -> Settings {
         Settings { values }
     }
@@ -107,7 +107,7 @@
     ///
     /// # Errors
     ///
-    /// All faults at once.
+    /// Returns all faults of the file, not just the first.
     pub fn parse(text: &str) -> Result<Settings, Faults> {
         Values::parse(text, &table()).map(Settings::new)
     }
--- a/crates/entry/tests/start.rs
+++ b/crates/entry/tests/start.rs
@@ -1,4 +1,4 @@
-//! What the entry does with bad settings.
+//! Tests that the entry reports the faults of its settings.
 
 use std::process::Command;
 
@@ -13,15 +13,15 @@
         assert!(!out.status.success());
         String::from_utf8_lossy(&out.stderr).into_owned()
     };
-    let said = run(std::path::Path::new("/nonexistent/x.yaml"));
-    assert!(said.contains("2009"), "{said}");
+    let stderr = run(std::path::Path::new("/nonexistent/x.yaml"));
+    assert!(stderr.contains("2009"), "{stderr}");
     let name = format!("stairhinge-entry-{}.yaml", std::process::id());
     let path = std::env::temp_dir().join(name);
     std::fs::write(&path, "name: e\n").unwrap();
-    let said = run(&path);
+    let stderr = run(&path);
     std::fs::remove_file(&path).unwrap();
     for field in ["hall", "http", "control", "platform"] {
-        let want = format!("2001 {field}: missing");
-        assert!(said.contains(&want), "{want}: {said}");
+        let expected = format!("2001 {field}: missing");
+        assert!(stderr.contains(&expected), "{expected}: {stderr}");
     }
 }
