--- a/crates/entry/src/admit.rs
+++ b/crates/entry/src/admit.rs
@@ -1,4 +1,4 @@
-//! Waiting for admission.
+//! Queues requests until they are admitted.
 
 use std::sync::Arc;
 
@@ -10,119 +10,123 @@
 
 use crate::Entry;
 
-/// A request that has been admitted; its end admits the next.
-pub(crate) struct Admitted {
+/// An admitted request. Dropping it admits the next one.
+pub(crate) struct AdmittedRequest {
     entry: Arc<Entry>,
     start: Time,
 }
 
-impl Drop for Admitted {
+impl Drop for AdmittedRequest {
     fn drop(&mut self) {
         let now = self.entry.node.now();
-        self.entry.next(now.since(self.start));
+        self.entry.finish_request(now.since(self.start));
     }
 }
 
-/// A request that waits; if its caller goes, so does its ticket.
-struct Waiting {
+/// A queued request. Dropping it, as when its caller disconnects, cancels its
+/// ticket.
+struct QueuedRequest {
     entry: Arc<Entry>,
     ticket: Option<Ticket>,
 }
 
-impl Drop for Waiting {
+impl Drop for QueuedRequest {
     fn drop(&mut self) {
         let Some(ticket) = self.ticket else { return };
-        let mut door = self.entry.door();
-        door.waiting.remove(&ticket);
-        let queued = door.admission.cancel(ticket);
-        drop(door);
-        if !queued {
-            // It was called just now: the place goes to the next.
-            self.entry.pass_on();
+        let mut queue = self.entry.admission_queue();
+        queue.waiters.remove(&ticket);
+        let was_queued = queue.admission.cancel(ticket);
+        drop(queue);
+        if !was_queued {
+            // It has just been admitted, so its place goes to the next.
+            self.entry.admit_next();
         }
     }
 }
 
 impl Entry {
-    /// Waits until a request is admitted, or refuses it at once.
+    /// Waits until a request is admitted. Refuses it if the queue is full or
+    /// the deadline passes first.
     pub(crate) async fn admit(
         self: &Arc<Entry>,
         workspace: &Workspace,
         deadline: Time,
-    ) -> Result<Admitted, Failed> {
+    ) -> Result<AdmittedRequest, Failed> {
         let now = self.node.now();
         let (tx, rx) = oneshot::channel();
         let ticket = {
-            let mut door = self.door();
-            let noise = rand::random::<f64>();
-            let offer = door.admission.admit(workspace, deadline, now, noise);
-            match offer {
+            let mut queue = self.admission_queue();
+            let jitter = rand::random::<f64>();
+            let decision =
+                queue.admission.admit(workspace, deadline, now, jitter);
+            match decision {
                 AdmissionDecision::Start => None,
-                AdmissionDecision::Refuse(err, back) => {
-                    return Err(Failed::new(err).with_back(back));
+                AdmissionDecision::Refuse(err, retry_after) => {
+                    return Err(Failed::new(err).with_back(retry_after));
                 }
                 AdmissionDecision::Wait(ticket) => {
-                    door.waiting.insert(ticket, tx);
+                    queue.waiters.insert(ticket, tx);
                     Some(ticket)
                 }
             }
         };
-        self.show_load();
+        self.report_load();
         if ticket.is_some() {
-            self.wait(ticket, rx, deadline.since(now)).await?;
+            self.wait_in_queue(ticket, rx, deadline.since(now)).await?;
         }
-        Ok(Admitted { entry: Arc::clone(self), start: self.node.now() })
+        Ok(AdmittedRequest { entry: Arc::clone(self), start: self.node.now() })
     }
 
-    async fn wait(
+    async fn wait_in_queue(
         self: &Arc<Entry>,
         ticket: Option<Ticket>,
-        called: oneshot::Receiver<()>,
-        most: std::time::Duration,
+        admitted: oneshot::Receiver<()>,
+        max_wait: std::time::Duration,
     ) -> Result<(), Failed> {
-        let mut waiting = Waiting { entry: Arc::clone(self), ticket };
-        match tokio::time::timeout(most, called).await {
+        let mut queued = QueuedRequest { entry: Arc::clone(self), ticket };
+        match tokio::time::timeout(max_wait, admitted).await {
             Ok(Ok(())) => {
-                waiting.ticket = None;
+                queued.ticket = None;
                 Ok(())
             }
             Ok(Err(_)) | Err(_) => {
-                let why = "the deadline passed while waiting";
+                let why = "the deadline passed while the request was queued";
                 let err = Error::new(Code::DeadlinePassed, why);
-                let back =
+                let retry_after =
                     stairhinge::request::AdmissionControl::MIN_RETRY_AFTER;
-                Err(Failed::new(err).with_back(back))
+                Err(Failed::new(err).with_back(retry_after))
             }
         }
     }
 
-    /// Takes note that a request ended after `span`, and calls the next.
-    fn next(&self, span: std::time::Duration) {
+    /// Records that a request ended after `duration`, and admits the next
+    /// ones.
+    fn finish_request(&self, duration: std::time::Duration) {
         let now = self.node.now();
-        let mut door = self.door();
-        let mut lost = 0;
-        for ticket in door.admission.finish(span, now) {
-            let called = door.waiting.remove(&ticket);
-            if called.is_none_or(|tx| tx.send(()).is_err()) {
-                lost += 1;
+        let mut queue = self.admission_queue();
+        let mut abandoned = 0;
+        for ticket in queue.admission.finish(duration, now) {
+            let waiter = queue.waiters.remove(&ticket);
+            if waiter.is_none_or(|tx| tx.send(()).is_err()) {
+                abandoned += 1;
             }
         }
-        drop(door);
-        for _ in 0..lost {
-            self.pass_on();
+        drop(queue);
+        for _ in 0..abandoned {
+            self.admit_next();
         }
-        self.show_load();
+        self.report_load();
     }
 
-    /// Gives a place that nobody took to the next. It says nothing about how
-    /// long requests take, so the usual time is left as it is.
-    fn pass_on(&self) {
-        let usual = self.door().admission.expected_duration();
-        self.next(usual);
+    /// Gives an unused place to the next queued request. Passing the expected
+    /// duration leaves the estimate of it unchanged.
+    fn admit_next(&self) {
+        let expected = self.admission_queue().admission.expected_duration();
+        self.finish_request(expected);
     }
 
-    fn show_load(&self) {
-        let (running, queued) = self.door().admission.load();
+    fn report_load(&self) {
+        let (running, queued) = self.admission_queue().admission.load();
         self.node.carry(running);
         self.node.metrics().load(running, queued);
     }
--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/answer.rs
@@ -1,4 +1,4 @@
-//! Bringing an answer back to the caller, whole or clearly marked.
+//! Passes an agent's answer to the caller, complete or marked as broken off.
 
 use std::time::{Duration, Instant};
 
@@ -15,28 +15,30 @@
 use tokio::sync::mpsc;
 
 use crate::Entry;
-use crate::admit::Admitted;
+use crate::admit::AdmittedRequest;
 use crate::send::InFlight;
 use std::sync::Arc;
 
-/// What is kept until an answer has gone out.
-pub(crate) struct AnswerGuards {
+/// An admitted request until its answer has been sent.
+pub(crate) struct RequestTracker {
     pub(crate) entry: Arc<Entry>,
-    pub(crate) admitted: Admitted,
+    pub(crate) admitted: AdmittedRequest,
     pub(crate) start: Instant,
 }
 
-impl AnswerGuards {
-    /// Takes note of the end of a request: its code (0 is success).
-    pub(crate) fn end(self, code: u16) {
+impl RequestTracker {
+    /// Records the code that the request ended with (0 is success), and ends
+    /// its admission.
+    pub(crate) fn finish(self, code: u16) {
         let secs = self.start.elapsed().as_secs_f64();
         self.entry.node.metrics().answered(code, secs);
         drop(self.admitted);
     }
 }
 
-/// The head of an answer, less what is between the system's processes.
-pub(crate) fn head(response: &Response<Incoming>) -> Response<Body> {
+/// Copies the head of an answer without the headers that are internal to the
+/// system.
+pub(crate) fn public_head(response: &Response<Incoming>) -> Response<Body> {
     let mut answer = Response::new(empty());
     *answer.status_mut() = response.status();
     let names =
@@ -49,64 +51,66 @@
     answer
 }
 
-/// Reads an answer that is not streamed; nothing goes out until it is whole.
-pub(crate) async fn whole(
+/// Reads a complete answer that is not streamed, of at most `max_bytes` bytes.
+/// Nothing is sent to the caller before the answer is complete.
+pub(crate) async fn read_whole(
     response: Response<Incoming>,
-    most: usize,
+    max_bytes: usize,
     within: Duration,
 ) -> Result<Response<Body>, Failure> {
-    let mut answer = head(&response);
-    let bytes = read(response.into_body(), most, within).await;
+    let mut answer = public_head(&response);
+    let bytes = read(response.into_body(), max_bytes, within).await;
     let bytes = bytes.map_err(|err| {
-        log::debug!("answer: {err}");
+        log::debug!("cannot read the agent's answer: {err}");
         Failure::Failed(Code::AnswerBroke)
     })?;
     *answer.body_mut() = full(bytes);
     Ok(answer)
 }
 
-/// A streamed answer of which the first bytes are here.
-pub(crate) struct Streamed {
+/// A streamed answer whose first bytes have arrived.
+pub(crate) struct StreamedAnswer {
     head: Response<Body>,
     first: Bytes,
     body: Incoming,
     idle: Duration,
 }
 
-impl Streamed {
-    /// Waits for the first bytes. Until they are here nothing has gone out,
-    /// and a repeatable request can still be tried elsewhere.
+impl StreamedAnswer {
+    /// Waits for the first bytes. Nothing has been sent to the caller until
+    /// then, so a repeatable request can still be sent to another agent.
     pub(crate) async fn begin(
         response: Response<Incoming>,
         idle: Duration,
-    ) -> Result<Streamed, Failure> {
-        let head = head(&response);
+    ) -> Result<StreamedAnswer, Failure> {
+        let head = public_head(&response);
         let mut body = response.into_body();
-        let first = next(&mut body, idle).await.map_err(|err| {
-            log::debug!("answer: {err}");
+        let first = next_data(&mut body, idle).await.map_err(|err| {
+            log::debug!("cannot read the agent's answer: {err}");
             Failure::Failed(Code::AnswerBroke)
         })?;
         let first = first.ok_or(Failure::Failed(Code::AnswerBroke))?;
-        Ok(Streamed { head, first, body, idle })
+        Ok(StreamedAnswer { head, first, body, idle })
     }
 
-    /// Sends the answer on; if it breaks off, the caller is told so within
-    /// the stream, and the connection ends without its proper end.
-    pub(crate) fn go(
+    /// Returns a response that forwards the answer. If the answer breaks off,
+    /// the caller gets an error event in the stream, and the body is aborted
+    /// instead of ended.
+    pub(crate) fn forward(
         self,
-        kept: AnswerGuards,
+        tracker: RequestTracker,
         in_flight: InFlight,
     ) -> Response<Body> {
-        let Streamed { mut head, first, mut body, idle } = self;
+        let StreamedAnswer { mut head, first, mut body, idle } = self;
         let (tx, rx) = mpsc::channel(8);
         tokio::spawn(async move {
             let ended = relay(&tx, first, &mut body, idle).await;
             drop(in_flight);
             match ended {
-                Ok(()) => kept.end(0),
+                Ok(()) => tracker.finish(0),
                 Err(err) => {
-                    kept.end(Code::AnswerBroke.number());
-                    tell(&tx, err).await;
+                    tracker.finish(Code::AnswerBroke.number());
+                    send_error_event(&tx, err).await;
                 }
             }
         });
@@ -117,33 +121,37 @@
     }
 }
 
+/// Forwards a body until it ends. Fails if the body breaks off or the caller
+/// disconnects.
 async fn relay(
     tx: &mpsc::Sender<Result<Bytes, BodyError>>,
     first: Bytes,
     body: &mut Incoming,
     idle: Duration,
 ) -> Result<(), BodyError> {
-    let gone = || BodyError("the caller has gone".into());
-    tx.send(Ok(first)).await.map_err(|_| gone())?;
+    let disconnected = || BodyError("the caller disconnected".into());
+    tx.send(Ok(first)).await.map_err(|_| disconnected())?;
     loop {
         let data = tokio::select! {
-            data = next(body, idle) => data?,
-            () = tx.closed() => return Err(gone()),
+            data = next_data(body, idle) => data?,
+            () = tx.closed() => return Err(disconnected()),
         };
         let Some(data) = data else { return Ok(()) };
-        tx.send(Ok(data)).await.map_err(|_| gone())?;
+        tx.send(Ok(data)).await.map_err(|_| disconnected())?;
     }
 }
 
-/// The next bytes of a body, or none at its proper end.
-async fn next(
+/// Returns the next bytes of a body, or `None` at its end.
+async fn next_data(
     body: &mut Incoming,
     idle: Duration,
 ) -> Result<Option<Bytes>, BodyError> {
     loop {
         let frame = tokio::time::timeout(idle, body.frame()).await;
-        let silent = |_| BodyError("the agent is silent".into());
-        let Some(frame) = frame.map_err(silent)? else { return Ok(None) };
+        let timed_out = |_| {
+            BodyError("the agent sent nothing within the idle timeout".into())
+        };
+        let Some(frame) = frame.map_err(timed_out)? else { return Ok(None) };
         let frame = frame.map_err(|e| BodyError(e.to_string()))?;
         if let Ok(data) = frame.into_data() {
             return Ok(Some(data));
@@ -151,16 +159,20 @@
     }
 }
 
-/// How long the words of a failure get to go out before the connection is
-/// broken off: hyper drops what it has not flushed when a body fails.
-const FLUSH: Duration = Duration::from_millis(20);
+/// Time to flush the error event before the body is aborted: hyper drops
+/// what it has not flushed when a body fails.
+const FLUSH_TIME: Duration = Duration::from_millis(20);
 
-async fn tell(tx: &mpsc::Sender<Result<Bytes, BodyError>>, err: BodyError) {
+/// Sends an error event to the caller, then aborts the body.
+async fn send_error_event(
+    tx: &mpsc::Sender<Result<Bytes, BodyError>>,
+    err: BodyError,
+) {
     let failed = Failed::new(Error::new(Code::AnswerBroke, &err));
     let text = format!("event: error\ndata: {}\n\n", failed.json());
-    // The caller may be the one who has gone.
+    // The send fails if the caller has disconnected.
     if tx.send(Ok(Bytes::from(text))).await.is_ok() {
-        tokio::time::sleep(FLUSH).await;
+        tokio::time::sleep(FLUSH_TIME).await;
         let _ = tx.send(Err(err)).await;
     }
 }
--- a/crates/entry/src/checked_request.rs
+++ b/crates/entry/src/checked_request.rs
@@ -1,4 +1,4 @@
-//! What a caller asks for, checked.
+//! Parses and checks callers' requests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,9 +13,9 @@
 use stairhinge::{Code, Error, Time};
 use stairhinge_shell::http::headers;
 
-/// Whom a request is for.
+/// The model or service that a request asks for.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub(crate) enum Aim {
+pub(crate) enum Requested {
     /// A model.
     Model(Arc<str>),
     /// A plain service.
@@ -25,23 +25,23 @@
 /// A caller's request, checked.
 #[derive(Clone, Debug)]
 pub(crate) struct CheckedRequest {
-    pub(crate) aim: Aim,
+    pub(crate) requested: Requested,
     pub(crate) method: Method,
-    /// Path and query, as the agent is to see them.
+    /// Path and query, as sent to the agent.
     pub(crate) path: String,
-    pub(crate) kind: Option<hyper::header::HeaderValue>,
+    pub(crate) content_type: Option<hyper::header::HeaderValue>,
     pub(crate) body: Bytes,
     pub(crate) stream: bool,
     pub(crate) repeatable: bool,
     pub(crate) key: Option<Key>,
     pub(crate) workspace: Workspace,
     pub(crate) deadline: Time,
-    /// Names what it asks, the same for all its tries.
+    /// Identifies the content of the request; the same for all its attempts.
     pub(crate) fingerprint: Fingerprint,
 }
 
-/// The fields of a chat request that the entry reads; the rest is the
-/// engine's.
+/// The fields of a chat request that the entry reads; the others are left to
+/// the engine.
 #[derive(Deserialize)]
 struct Chat {
     model: String,
@@ -50,35 +50,38 @@
 }
 
 /// The path of chat requests.
-pub(crate) const CHAT: &str = "/v1/chat/completions";
+pub(crate) const CHAT_PATH: &str = "/v1/chat/completions";
 
-/// The workspace of a request that names none.
-const DEFAULT: &str = "default";
+/// The workspace of a request that sets none.
+const DEFAULT_WORKSPACE: &str = "default";
 
 impl CheckedRequest {
-    /// Checks a request against the declaration. `longest` is the longest
-    /// deadline, and that of a request that names none.
+    /// Checks a request against the declaration. `max_deadline` is the longest
+    /// deadline that a request may set, and the deadline of one that sets
+    /// none.
     pub(crate) fn check(
         parts: &Parts,
         body: Bytes,
         fleet: &Fleet,
         now: Time,
-        longest: Duration,
+        max_deadline: Duration,
     ) -> Result<CheckedRequest, Error> {
         let workspace = workspace(&parts.headers, fleet)?;
-        let deadline = deadline(&parts.headers, longest)?;
-        let key = match text(&parts.headers, headers::KEY)? {
+        let deadline = deadline(&parts.headers, max_deadline)?;
+        let key = match header_text(&parts.headers, headers::KEY)? {
             Some(text) => Some(Key::new(workspace.name(), text)?),
             None => None,
         };
         let path = parts.uri.path();
-        let (aim, stream, usual) = match path.strip_prefix("/services/") {
-            Some(rest) => service(rest, fleet)?,
-            None => chat(parts, &body, fleet)?,
-        };
-        let repeatable = flag(&parts.headers)?.unwrap_or(usual);
+        let (requested, stream, default_repeatable) =
+            match path.strip_prefix("/services/") {
+                Some(rest) => parse_service(rest, fleet)?,
+                None => parse_chat(parts, &body, fleet)?,
+            };
+        let repeatable =
+            repeatable_header(&parts.headers)?.unwrap_or(default_repeatable);
         let path = parts.uri.path_and_query();
-        let path = path.map_or(CHAT.into(), ToString::to_string);
+        let path = path.map_or(CHAT_PATH.into(), ToString::to_string);
         let fingerprint = Fingerprint::of(&Identity {
             host: "",
             path: &path,
@@ -86,11 +89,11 @@
             body: &body,
         });
         Ok(CheckedRequest {
-            aim,
+            requested,
             method: parts.method.clone(),
             path,
             fingerprint,
-            kind: parts.headers.get("content-type").cloned(),
+            content_type: parts.headers.get("content-type").cloned(),
             body,
             stream,
             repeatable,
@@ -101,40 +104,50 @@
     }
 }
 
-fn service(rest: &str, fleet: &Fleet) -> Result<(Aim, bool, bool), Error> {
+/// Returns the requested service, `false` because its answers are not
+/// streamed, and whether its requests are repeatable.
+fn parse_service(
+    rest: &str,
+    fleet: &Fleet,
+) -> Result<(Requested, bool, bool), Error> {
     let name = rest.split('/').next().unwrap_or_default();
     let service = fleet.service(name).ok_or_else(|| {
         let known = fleet.services().iter().map(|s| &**s.name());
-        Error::new(Code::UnknownService, unknown("service", name, known))
+        Error::new(Code::UnknownService, unknown_name("service", name, known))
     })?;
-    let aim = Aim::Service(Arc::clone(service.name()));
-    Ok((aim, false, service.repeatable()))
+    let requested = Requested::Service(Arc::clone(service.name()));
+    Ok((requested, false, service.repeatable()))
 }
 
-fn chat(
+/// Returns the requested model, whether to stream the answer, and whether
+/// requests to the model are repeatable.
+fn parse_chat(
     parts: &Parts,
     body: &Bytes,
     fleet: &Fleet,
-) -> Result<(Aim, bool, bool), Error> {
-    if parts.uri.path() != CHAT {
-        let why = format!("nothing at {}", parts.uri.path());
+) -> Result<(Requested, bool, bool), Error> {
+    if parts.uri.path() != CHAT_PATH {
+        let why = format!("no such path: {}", parts.uri.path());
         return Err(Error::new(Code::UnknownPath, why));
     }
     if parts.method != Method::POST {
-        let why = format!("{} {CHAT}, allowed: POST", parts.method);
+        let why = format!("{} {CHAT_PATH}, allowed: POST", parts.method);
         return Err(Error::new(Code::WrongMethod, why));
     }
     let chat: Chat = serde_json::from_slice(body)
         .map_err(|e| Error::new(Code::MalformedJson, e))?;
     let model = fleet.model(&chat.model).ok_or_else(|| {
         let known = fleet.models().iter().map(|m| &**m.name());
-        Error::new(Code::UnknownModel, unknown("model", &chat.model, known))
+        Error::new(
+            Code::UnknownModel,
+            unknown_name("model", &chat.model, known),
+        )
     })?;
-    let aim = Aim::Model(Arc::clone(model.name()));
-    Ok((aim, chat.stream, model.repeatable()))
+    let requested = Requested::Model(Arc::clone(model.name()));
+    Ok((requested, chat.stream, model.repeatable()))
 }
 
-fn unknown<'a>(
+fn unknown_name<'a>(
     what: &str,
     name: &str,
     known: impl Iterator<Item = &'a str>,
@@ -144,26 +157,32 @@
 }
 
 fn workspace(map: &HeaderMap, fleet: &Fleet) -> Result<Workspace, Error> {
-    let Some(name) = text(map, headers::WORKSPACE)? else {
-        let known = fleet.workspace(DEFAULT).cloned();
-        return Ok(known.unwrap_or_else(|| Workspace::new(DEFAULT, 1, 5)));
+    let Some(name) = header_text(map, headers::WORKSPACE)? else {
+        let known = fleet.workspace(DEFAULT_WORKSPACE).cloned();
+        return Ok(
+            known.unwrap_or_else(|| Workspace::new(DEFAULT_WORKSPACE, 1, 5))
+        );
     };
     fleet.workspace(name).cloned().ok_or_else(|| {
-        let why = format!("workspace \"{name}\", allowed: those declared");
+        let why =
+            format!("workspace \"{name}\", allowed: a declared workspace");
         Error::new(Code::UnknownWorkspace, why)
     })
 }
 
-fn deadline(map: &HeaderMap, longest: Duration) -> Result<Duration, Error> {
-    let Some(value) = text(map, headers::DEADLINE)? else {
-        return Ok(longest);
+fn deadline(
+    map: &HeaderMap,
+    max_deadline: Duration,
+) -> Result<Duration, Error> {
+    let Some(value) = header_text(map, headers::DEADLINE)? else {
+        return Ok(max_deadline);
     };
-    let most = longest.as_millis() as u64;
+    let max_ms = max_deadline.as_millis() as u64;
     match value.parse::<u64>() {
-        Ok(ms) if (1..=most).contains(&ms) => Ok(Duration::from_millis(ms)),
+        Ok(ms) if (1..=max_ms).contains(&ms) => Ok(Duration::from_millis(ms)),
         _ => {
             let why = format!(
-                "{} is \"{value}\", allowed: 1 to {most}",
+                "{} is \"{value}\", allowed: 1 to {max_ms}",
                 headers::DEADLINE
             );
             Err(Error::new(Code::BadHeader, why))
@@ -171,8 +190,8 @@
     }
 }
 
-fn flag(map: &HeaderMap) -> Result<Option<bool>, Error> {
-    match text(map, headers::REPEATABLE)? {
+fn repeatable_header(map: &HeaderMap) -> Result<Option<bool>, Error> {
+    match header_text(map, headers::REPEATABLE)? {
         None => Ok(None),
         Some("true") => Ok(Some(true)),
         Some("false") => Ok(Some(false)),
@@ -186,7 +205,10 @@
     }
 }
 
-fn text<'a>(map: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Error> {
+fn header_text<'a>(
+    map: &'a HeaderMap,
+    name: &str,
+) -> Result<Option<&'a str>, Error> {
     let Some(value) = map.get(name) else { return Ok(None) };
     let text = value.to_str().map_err(|_| {
         Error::new(Code::BadHeader, format!("{name} is not visible ASCII"))
--- a/crates/entry/src/choose.rs
+++ b/crates/entry/src/choose.rs
@@ -1,4 +1,4 @@
-//! Which agents could take a request, and which one does.
+//! Chooses the agent that a request is sent to.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -12,35 +12,39 @@
 use stairhinge_shell::node::View;
 
 use crate::Entry;
-use crate::checked_request::{Aim, CheckedRequest};
+use crate::checked_request::{CheckedRequest, Requested};
 
-/// What the entry itself has seen of one agent.
+/// What this entry knows of one agent from its own requests.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct AgentLoad {
-    /// Requests of this entry in progress there.
-    pub(crate) mine: u32,
-    /// Requests in progress there, as its last answer said.
-    pub(crate) told: u32,
+pub(crate) struct AgentState {
+    /// Requests of this entry in progress at the agent.
+    pub(crate) own_requests: u32,
+    /// Requests in progress at the agent, as reported by its last answer.
+    pub(crate) reported_requests: u32,
     pub(crate) health: Health,
-    /// Until when it is left out, since it said that it does not serve.
-    pub(crate) away: Time,
-    /// Its incarnation, once known.
+    /// End of the exclusion that follows an answer of not serving or
+    /// overloaded.
+    pub(crate) excluded_until: Time,
+    /// The latest incarnation seen in an answer.
     pub(crate) incarnation: Option<u64>,
-    /// Whether it said that it leaves; a new incarnation may come back.
-    pub(crate) leaves: bool,
+    /// Whether this incarnation has answered that it is leaving; cleared when
+    /// a newer incarnation answers.
+    pub(crate) leaving: bool,
 }
 
-pub(crate) type AgentLoads = HashMap<Arc<str>, AgentLoad>;
+pub(crate) type AgentStates = HashMap<Arc<str>, AgentState>;
 
-/// How long an agent is left out that said that it does not serve.
-const AWAY: Duration = Duration::from_millis(200);
+/// How long an agent is excluded after it refused as not serving or
+/// overloaded.
+const EXCLUSION_PERIOD: Duration = Duration::from_millis(200);
 
-/// How many bytes of a request's body stand for its prefix.
-const PREFIX: usize = 256;
+/// Length in bytes of the body's prefix by which requests for a model are
+/// assigned to agents.
+const PREFIX_BYTES: usize = 256;
 
-/// An agent that was chosen.
+/// The agent chosen for an attempt.
 #[derive(Clone, Debug)]
-pub(crate) struct Chosen {
+pub(crate) struct ChosenAgent {
     pub(crate) name: Arc<str>,
     pub(crate) http: SocketAddr,
     pub(crate) control: SocketAddr,
@@ -48,25 +52,25 @@
 }
 
 impl Entry {
-    /// Chooses an agent for a request, leaving out those in `tried` as long
-    /// as there are others.
+    /// Chooses an agent for a request. Agents in `tried` are chosen only if
+    /// there are no others.
     pub(crate) fn choose(
         &self,
-        ask: &CheckedRequest,
+        checked: &CheckedRequest,
         tried: &HashSet<Arc<str>>,
-    ) -> Option<Chosen> {
+    ) -> Option<ChosenAgent> {
         let view = self.node.view();
         let fleet = view.fleet.as_ref()?;
-        let names = able(fleet, &view, &ask.aim);
+        let names = serving_agents(fleet, &view, &checked.requested);
         let now = self.node.now();
-        let fit = self.fit(&names, now);
-        let fresh: Vec<_> =
-            fit.iter().filter(|n| !tried.contains(*n)).cloned().collect();
-        let from = if fresh.is_empty() { &fit } else { &fresh };
-        let name = self.among(ask, from, &view.listing)?;
+        let usable = self.usable(&names, now);
+        let untried: Vec<_> =
+            usable.iter().filter(|n| !tried.contains(*n)).cloned().collect();
+        let from = if untried.is_empty() { &usable } else { &untried };
+        let name = self.pick_agent(checked, from, &view.listing)?;
         let instance = view.listing.get(&name)?;
         let incarnation = self.incarnation(&name);
-        Some(Chosen {
+        Some(ChosenAgent {
             http: instance.http,
             control: instance.control,
             name,
@@ -74,51 +78,52 @@
         })
     }
 
-    /// Those that are not known to leave, to be elsewhere, or to fail. If
-    /// that leaves none, those that fail are better than nobody.
-    fn fit(&self, names: &[Arc<str>], now: Time) -> Vec<Arc<str>> {
+    /// Returns the agents that are not leaving, excluded or failing. If there
+    /// are none, returns the failing ones.
+    fn usable(&self, names: &[Arc<str>], now: Time) -> Vec<Arc<str>> {
         let peers = self.node.peers();
-        let seats = self.seats();
-        let mut fit = Vec::new();
-        let mut weak = Vec::new();
+        let agents = self.agent_states();
+        let mut usable = Vec::new();
+        let mut failing = Vec::new();
         for name in names {
-            let seat = seats.get(name).cloned().unwrap_or_default();
+            let agent = agents.get(name).cloned().unwrap_or_default();
             let heard = peers.get(name).map(|h| &h.report);
-            let leaves = heard.is_some_and(|r| {
+            let leaving = heard.is_some_and(|r| {
                 r.leaves()
-                    && seat.incarnation.is_none_or(|i| i <= r.incarnation)
+                    && agent.incarnation.is_none_or(|i| i <= r.incarnation)
             });
-            if leaves || seat.leaves || now < seat.away {
+            if leaving || agent.leaving || now < agent.excluded_until {
                 continue;
             }
-            if seat.health.is_available(now) {
-                fit.push(Arc::clone(name));
+            if agent.health.is_available(now) {
+                usable.push(Arc::clone(name));
             } else {
-                weak.push(Arc::clone(name));
+                failing.push(Arc::clone(name));
             }
         }
-        if fit.is_empty() { weak } else { fit }
+        if usable.is_empty() { failing } else { usable }
     }
 
-    fn among(
+    fn pick_agent(
         &self,
-        ask: &CheckedRequest,
+        checked: &CheckedRequest,
         names: &[Arc<str>],
         listing: &Listing,
     ) -> Option<Arc<str>> {
         let hall = &self.node.identity().hall;
-        let seats = self.seats();
+        let agents = self.agent_states();
         let mut candidates = Vec::new();
         for name in names {
-            let seat = seats.get(name);
-            let load = seat.map_or(0, |s| s.mine.max(s.told));
-            let near = listing.get(name).is_some_and(|i| i.hall == *hall);
-            candidates.push(Candidate::new(name, load, near));
+            let agent = agents.get(name);
+            let load =
+                agent.map_or(0, |s| s.own_requests.max(s.reported_requests));
+            let same_hall = listing.get(name).is_some_and(|i| i.hall == *hall);
+            candidates.push(Candidate::new(name, load, same_hall));
         }
         let draws = (rand::random(), rand::random());
-        let prefix = match ask.aim {
-            Aim::Model(_) if ask.body.len() >= PREFIX => {
-                Some(&ask.body[..PREFIX])
+        let prefix = match checked.requested {
+            Requested::Model(_) if checked.body.len() >= PREFIX_BYTES => {
+                Some(&checked.body[..PREFIX_BYTES])
             }
             _ => None,
         };
@@ -127,46 +132,50 @@
     }
 
     fn incarnation(&self, name: &str) -> Option<u64> {
-        let seen = self.seats().get(name).and_then(|s| s.incarnation);
+        let seen = self.agent_states().get(name).and_then(|s| s.incarnation);
         let heard = self.node.peers().get(name).map(|h| h.report.incarnation);
         seen.max(heard)
     }
 
-    /// Changes what is known of an agent.
-    pub(crate) fn seat(
+    /// Updates the state of an agent, creating it if it is new.
+    pub(crate) fn update_agent(
         &self,
         name: &Arc<str>,
-        change: impl FnOnce(&mut AgentLoad),
+        change: impl FnOnce(&mut AgentState),
     ) {
-        change(self.seats().entry(Arc::clone(name)).or_default());
+        change(self.agent_states().entry(Arc::clone(name)).or_default());
     }
 
-    /// Leaves out for a moment an agent that said that it does not serve.
-    pub(crate) fn send_away(&self, name: &Arc<str>) {
-        let until = self.node.now().after(AWAY);
-        self.seat(name, |s| s.away = until);
+    /// Excludes an agent from the choice for [`EXCLUSION_PERIOD`].
+    pub(crate) fn exclude_briefly(&self, name: &Arc<str>) {
+        let until = self.node.now().after(EXCLUSION_PERIOD);
+        self.update_agent(name, |s| s.excluded_until = until);
     }
 }
 
-/// The agents that are to serve what a request is for.
-fn able(fleet: &Fleet, view: &View, aim: &Aim) -> Vec<Arc<str>> {
+/// Returns the agents assigned to the requested model or service.
+fn serving_agents(
+    fleet: &Fleet,
+    view: &View,
+    requested: &Requested,
+) -> Vec<Arc<str>> {
     let mut names = Vec::new();
-    match aim {
-        Aim::Model(model) => {
+    match requested {
+        Requested::Model(model) => {
             for (_, agents) in agents_by_hall(fleet, &view.listing, model) {
                 names.extend(agents);
             }
         }
-        Aim::Service(service) => {
+        Requested::Service(service) => {
             for backend in fleet.backends() {
                 if backend.service() != Some(service) {
                     continue;
                 }
                 let listed = view.listing.get(backend.name());
-                let stays = listed.is_some_and(|i| {
+                let is_live = listed.is_some_and(|i| {
                     i.role == Role::Agent && i.presence == Presence::Live
                 });
-                if stays {
+                if is_live {
                     names.push(Arc::clone(backend.name()));
                 }
             }
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -12,22 +12,22 @@
 use tokio::sync::oneshot;
 
 use crate::Settings;
-use crate::choose::AgentLoads;
+use crate::choose::AgentStates;
 
-/// Admission, with those who wait for their ticket to be called.
+/// Admission control, with a channel to each queued request.
 pub(crate) struct AdmissionQueue {
     pub(crate) admission: AdmissionControl,
-    pub(crate) waiting: HashMap<Ticket, oneshot::Sender<()>>,
+    pub(crate) waiters: HashMap<Ticket, oneshot::Sender<()>>,
 }
 
 /// The shared state of an entry.
 pub struct Entry {
     pub(crate) node: Arc<Node>,
     pub(crate) settings: Settings,
-    pub(crate) door: Mutex<AdmissionQueue>,
-    pub(crate) seats: Mutex<AgentLoads>,
-    pub(crate) budget: Mutex<RetryBudget>,
-    seq: AtomicU64,
+    pub(crate) admission_queue: Mutex<AdmissionQueue>,
+    pub(crate) agent_states: Mutex<AgentStates>,
+    pub(crate) retry_budget: Mutex<RetryBudget>,
+    attempt_seq: AtomicU64,
 }
 
 impl Entry {
@@ -40,40 +40,40 @@
         );
         let admission =
             AdmissionControl::new(limits, values.millis("usual_ms"));
-        let budget = RetryBudget::new(
+        let retry_budget = RetryBudget::new(
             values.number("retry_percent") as f64 / 100.0,
             values.number("retry_saved") as f64,
         );
         Arc::new(Entry {
             node,
             settings: settings.clone(),
-            door: Mutex::new(AdmissionQueue {
+            admission_queue: Mutex::new(AdmissionQueue {
                 admission,
-                waiting: HashMap::new(),
+                waiters: HashMap::new(),
             }),
-            seats: Mutex::default(),
-            budget: Mutex::new(budget),
-            seq: AtomicU64::new(0),
+            agent_states: Mutex::default(),
+            retry_budget: Mutex::new(retry_budget),
+            attempt_seq: AtomicU64::new(0),
         })
     }
 
-    /// Returns a name for one attempt, never used before.
-    pub(crate) fn attempt(&self) -> Attempt {
-        let seq = self.seq.fetch_add(1, Ordering::Relaxed);
+    /// Returns a new attempt with an id that is never reused.
+    pub(crate) fn new_attempt(&self) -> Attempt {
+        let attempt_seq = self.attempt_seq.fetch_add(1, Ordering::Relaxed);
         let name = &self.node.identity().name;
-        Attempt::new(name, self.node.incarnation(), seq)
+        Attempt::new(name, self.node.incarnation(), attempt_seq)
     }
 
-    pub(crate) fn door(&self) -> MutexGuard<'_, AdmissionQueue> {
-        lock(&self.door)
+    pub(crate) fn admission_queue(&self) -> MutexGuard<'_, AdmissionQueue> {
+        lock(&self.admission_queue)
     }
 
-    pub(crate) fn seats(&self) -> MutexGuard<'_, AgentLoads> {
-        lock(&self.seats)
+    pub(crate) fn agent_states(&self) -> MutexGuard<'_, AgentStates> {
+        lock(&self.agent_states)
     }
 
-    pub(crate) fn budget(&self) -> MutexGuard<'_, RetryBudget> {
-        lock(&self.budget)
+    pub(crate) fn retry_budget(&self) -> MutexGuard<'_, RetryBudget> {
+        lock(&self.retry_budget)
     }
 
     pub(crate) fn millis(&self, name: &str) -> Duration {
@@ -81,7 +81,8 @@
     }
 }
 
-/// A panic while holding one of these locks leaves whole values.
+/// Locks a mutex even if it is poisoned: a panic leaves these values
+/// consistent.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(|e| e.into_inner())
 }
--- a/crates/entry/src/front.rs
+++ b/crates/entry/src/front.rs
@@ -1,4 +1,4 @@
-//! From a caller's request to its final answer.
+//! Handles a caller's request, from its checks to its final answer.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -18,19 +18,20 @@
 };
 
 use crate::Entry;
-use crate::answer::{AnswerGuards, Streamed, whole};
+use crate::answer::{RequestTracker, StreamedAnswer, read_whole};
 use crate::checked_request::CheckedRequest;
-use crate::choose::Chosen;
+use crate::choose::ChosenAgent;
 use crate::send::{FailedAttempt, InFlight};
 
-/// The pause before looking again when no agent can take a request.
-const PAUSE: Duration = Duration::from_millis(20);
+/// Pause before the next choice of an agent, after none was available or
+/// several refused.
+const RETRY_PAUSE: Duration = Duration::from_millis(20);
 
-/// When to come back if nobody can take a request.
+/// `Retry-After` of a request that the entry can't serve, before jitter.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// How long a question for an agent's incarnation may take.
-const MEET_TIMEOUT: Duration = Duration::from_millis(500);
+/// Timeout of a control call that asks an agent for its incarnation.
+const INCARNATION_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl Handler for Entry {
     fn handle(
@@ -42,7 +43,7 @@
                 "/healthz" => answer(StatusCode::OK, "{}".into()),
                 "/readyz" => self.ready(),
                 "/metrics" => Response::new(full(self.node.metrics_text())),
-                _ => self.front(request).await,
+                _ => self.handle_request(request).await,
             }
         }
         .boxed()
@@ -51,8 +52,8 @@
 
 impl Entry {
     fn ready(&self) -> Response<Body> {
-        let known = self.node.view().fleet.is_some();
-        let ready = known && !self.node.leaving();
+        let has_fleet = self.node.view().fleet.is_some();
+        let ready = has_fleet && !self.node.leaving();
         let status = if ready {
             StatusCode::OK
         } else {
@@ -61,12 +62,12 @@
         answer(status, format!("{{\"ready\":{ready}}}"))
     }
 
-    async fn front(
+    async fn handle_request(
         self: Arc<Entry>,
         request: Request<Incoming>,
     ) -> Response<Body> {
         let start = Instant::now();
-        match self.take(request, start).await {
+        match self.run_request(request, start).await {
             Ok(response) => response,
             Err(failed) => {
                 let code = failed.error().code().number();
@@ -77,8 +78,8 @@
         }
     }
 
-    /// Checks and admits a request, then runs it.
-    async fn take(
+    /// Checks and admits a request, then runs it to its answer.
+    async fn run_request(
         self: &Arc<Entry>,
         request: Request<Incoming>,
         start: Instant,
@@ -86,95 +87,98 @@
         let (parts, body) = request.into_parts();
         let view = self.node.view();
         let Some(fleet) = view.fleet.as_ref() else {
-            let why = "this entry has no configuration yet";
+            let why = "the entry has received no configuration yet";
             let err = Error::new(Code::NoBackend, why);
             return Err(Failed::new(err).with_back(RETRY_AFTER));
         };
         let limits = Limits::of(&self.settings.values);
         let body = read(body, limits.body, limits.body_time).await?;
         let now = self.node.now();
-        let longest = self.millis("deadline_ms");
-        let ask = CheckedRequest::check(&parts, body, fleet, now, longest)?;
-        self.budget().record_request();
-        let admitted = self.admit(&ask.workspace, ask.deadline).await?;
+        let max_deadline = self.millis("deadline_ms");
+        let checked =
+            CheckedRequest::check(&parts, body, fleet, now, max_deadline)?;
+        self.retry_budget().record_request();
+        let admitted =
+            self.admit(&checked.workspace, checked.deadline).await?;
         let entry = Arc::clone(self);
-        let kept = AnswerGuards { entry, admitted, start };
-        let run = Run {
+        let tracker = RequestTracker { entry, admitted, start };
+        let run = RequestRun {
             entry: Arc::clone(self),
-            course: RequestRetry::new(ask.repeatable),
-            ask,
+            retry: RequestRetry::new(checked.repeatable),
+            checked,
             tried: HashSet::new(),
-            harmed: 0,
-            waited: None,
-            back: None,
+            attempts_maybe_run: 0,
+            waiting_since: None,
+            retry_after: None,
             refusal: None,
         };
-        run.run(kept).await
+        run.run(tracker).await
     }
 }
 
-/// One request on its way through attempts.
-struct Run {
+/// An admitted request and the state of its attempts.
+struct RequestRun {
     entry: Arc<Entry>,
-    ask: CheckedRequest,
-    course: RequestRetry,
+    checked: CheckedRequest,
+    retry: RequestRetry,
     tried: HashSet<Arc<str>>,
-    /// Attempts that may have run.
-    harmed: u64,
-    /// Since when nobody could take it.
-    waited: Option<Time>,
-    /// When to come back, as the last agent said.
-    back: Option<Duration>,
-    /// Why it is kept from backend servers.
+    /// Number of failed attempts that may have run.
+    attempts_maybe_run: u64,
+    /// When an attempt first failed without running, or no agent was
+    /// available; `wait_ms` counts from here.
+    waiting_since: Option<Time>,
+    /// `Retry-After` of the last failed attempt, or of the refusal.
+    retry_after: Option<Duration>,
+    /// Why the poison table refused the request.
     refusal: Option<Refusal>,
 }
 
-impl Run {
+impl RequestRun {
     async fn run(
         mut self,
-        kept: AnswerGuards,
+        tracker: RequestTracker,
     ) -> Result<Response<Body>, Failed> {
         loop {
             let next = match self.attempt().await {
                 Ok(Answered::Whole(response)) => {
-                    kept.end(0);
+                    tracker.finish(0);
                     return Ok(response);
                 }
                 Ok(Answered::Streamed(streamed, in_flight)) => {
-                    return Ok(streamed.go(kept, in_flight));
+                    return Ok(streamed.forward(tracker, in_flight));
                 }
                 Err(next) => next,
             };
             let RetryDecision::Respond(code, ran) = next else { continue };
-            return Err(self.failed(code, ran));
+            return Err(self.error_response(code, ran));
         }
     }
 
-    fn failed(&self, code: Code, ran: Ran) -> Failed {
-        let aim = &self.ask.aim;
+    fn error_response(&self, code: Code, ran: Ran) -> Failed {
+        let requested = &self.checked.requested;
         let why = match &self.refusal {
             Some(refusal) => refusal.to_string(),
-            None => format!("{aim:?} after {} agents", self.tried.len()),
+            None => format!("{requested:?} after {} agents", self.tried.len()),
         };
         let failed = Failed::new(Error::new(code, why)).with_ran(ran);
-        if let Some(back) = self.back {
-            return failed.with_back(back);
+        if let Some(retry_after) = self.retry_after {
+            return failed.with_back(retry_after);
         }
         match code.status() {
             503 | 504 => {
-                let noise = rand::random::<f64>();
-                failed.with_back(RETRY_AFTER.mul_f64(1.0 + noise))
+                let jitter = rand::random::<f64>();
+                failed.with_back(RETRY_AFTER.mul_f64(1.0 + jitter))
             }
             _ => failed,
         }
     }
 
-    /// Makes one attempt; what comes next if it fails.
+    /// Makes one attempt. An error says how to continue after a failure.
     async fn attempt(&mut self) -> Result<Answered, RetryDecision> {
-        let suspicion = self.admit_suspect()?;
+        let suspicion = self.check_poison()?;
         let answered = self.send_once(suspicion).await;
         if answered.is_err() {
-            self.entry.node.poison().finish_run(self.ask.fingerprint);
+            self.entry.node.poison().finish_run(self.checked.fingerprint);
         }
         answered
     }
@@ -183,46 +187,59 @@
         &mut self,
         suspicion: Suspicion,
     ) -> Result<Answered, RetryDecision> {
-        let Some(chosen) = self.entry.choose(&self.ask, &self.tried) else {
-            return Err(self.nobody().await);
+        let Some(chosen) = self.entry.choose(&self.checked, &self.tried)
+        else {
+            return Err(self.wait_for_agent().await);
         };
         let Some(incarnation) = self.incarnation(&chosen).await else {
             self.tried.insert(Arc::clone(&chosen.name));
             let now = self.entry.node.now();
-            self.entry.seat(&chosen.name, |s| s.health.record_failure(now));
-            return Err(self.after(Failure::Unsent).await);
+            self.entry
+                .update_agent(&chosen.name, |s| s.health.record_failure(now));
+            return Err(self.decide_next(Failure::Unsent).await);
         };
-        let attempt = self.entry.attempt();
+        let attempt = self.entry.new_attempt();
         let sent = self.entry.node.now();
-        let left = self.left();
-        if left.is_zero() {
-            let before = self.course.ran();
+        let time_left = self.time_left();
+        if time_left.is_zero() {
+            let before = self.retry.ran();
             return Err(RetryDecision::Respond(Code::DeadlinePassed, before));
         }
-        // A frozen agent takes the connection and says nothing. A streamed
-        // answer begins at once, so silence shows; one that is not streamed
-        // may begin only when it is whole.
-        let first = self.entry.millis("first_ms");
-        let within = if self.ask.stream { left.min(first) } else { left };
-        self.note(&chosen, &attempt);
+        // A hung agent accepts the connection and sends nothing. A streamed
+        // answer begins at once, so `first_ms` detects this. An answer that
+        // isn't streamed may begin only when it is complete.
+        let first_byte = self.entry.millis("first_ms");
+        let within = if self.checked.stream {
+            time_left.min(first_byte)
+        } else {
+            time_left
+        };
+        self.record_attempt(&chosen, &attempt);
         let in_flight = InFlight::new(&self.entry, &chosen.name);
         let entry = Arc::clone(&self.entry);
         let answered = entry
-            .send(&self.ask, &chosen, &attempt, incarnation, suspicion, within)
+            .send(
+                &self.checked,
+                &chosen,
+                &attempt,
+                incarnation,
+                suspicion,
+                within,
+            )
             .await;
         let answered = match answered {
-            Ok(response) => self.read(response).await,
-            Err(FailedAttempt { failure, back }) => {
-                self.back = back;
+            Ok(response) => self.read_answer(response).await,
+            Err(FailedAttempt { failure, retry_after }) => {
+                self.retry_after = retry_after;
                 Err(failure)
             }
         };
         let failure = match answered {
-            Ok(Read::Whole(whole)) => {
-                self.entry.node.answered_whole(self.ask.fingerprint);
+            Ok(ReadAnswer::Whole(whole)) => {
+                self.entry.node.answered_whole(self.checked.fingerprint);
                 return Ok(Answered::Whole(whole));
             }
-            Ok(Read::Streamed(streamed)) => {
+            Ok(ReadAnswer::Streamed(streamed)) => {
                 return Ok(Answered::Streamed(streamed, in_flight));
             }
             Err(failure) => failure,
@@ -230,11 +247,12 @@
         drop(in_flight);
         self.tried.insert(Arc::clone(&chosen.name));
         if matches!(failure, Failure::Failed(_)) {
-            // The agent has seen whether its backend server ended.
+            // The agent knows whether its backend server ended during the
+            // attempt.
             let node = &self.entry.node;
-            node.ask_poison(chosen.control, self.ask.fingerprint).await;
+            node.ask_poison(chosen.control, self.checked.fingerprint).await;
         }
-        match self.after(failure).await {
+        match self.decide_next(failure).await {
             RetryDecision::Revoke => {
                 Err(self.revoke(&chosen, attempt, incarnation, sent).await)
             }
@@ -242,18 +260,19 @@
         }
     }
 
-    /// Admits the request, unless it ends the backend servers that run it.
-    fn admit_suspect(&mut self) -> Result<Suspicion, RetryDecision> {
+    /// Starts a run of the request, unless the poison table refuses it because
+    /// backend servers ended while running it.
+    fn check_poison(&mut self) -> Result<Suspicion, RetryDecision> {
         let node = &self.entry.node;
         let now = node.now();
-        let admission = node.poison().admit(self.ask.fingerprint, now);
+        let admission = node.poison().admit(self.checked.fingerprint, now);
         let refusal = match admission {
             Admission::Admitted(suspicion) => return Ok(suspicion),
             Admission::Refused(refusal) => refusal,
         };
-        self.back = Some(refusal.retry_after);
+        self.retry_after = Some(refusal.retry_after);
         self.refusal = Some(refusal);
-        let before = self.course.ran();
+        let before = self.retry.ran();
         let code = match before {
             Ran::DidNotRun => Code::Quarantined,
             Ran::MayHaveRun | Ran::Ran => Code::LostBackend,
@@ -261,25 +280,26 @@
         Err(RetryDecision::Respond(code, before))
     }
 
-    async fn read(
+    async fn read_answer(
         &self,
         response: Response<Incoming>,
-    ) -> Result<Read, Failure> {
+    ) -> Result<ReadAnswer, Failure> {
         let idle = self.entry.millis("idle_ms");
-        if self.ask.stream && response.status() == StatusCode::OK {
-            let streamed = Streamed::begin(response, idle).await?;
-            return Ok(Read::Streamed(Box::new(streamed)));
+        if self.checked.stream && response.status() == StatusCode::OK {
+            let streamed = StreamedAnswer::begin(response, idle).await?;
+            return Ok(ReadAnswer::Streamed(Box::new(streamed)));
         }
-        let most = self.entry.settings.values.number("answer_kb") * 1024;
-        let whole = whole(response, most as usize, self.left()).await?;
-        Ok(Read::Whole(whole))
+        let limit = self.entry.settings.values.number("answer_kb") * 1024;
+        let whole =
+            read_whole(response, limit as usize, self.time_left()).await?;
+        Ok(ReadAnswer::Whole(whole))
     }
 
-    fn note(&mut self, chosen: &Chosen, attempt: &Attempt) {
+    fn record_attempt(&mut self, chosen: &ChosenAgent, attempt: &Attempt) {
         if !self.tried.is_empty() {
             self.entry.node.metrics().retried();
         }
-        let key = self.ask.key.as_ref().map_or("", |k| k.as_str());
+        let key = self.checked.key.as_ref().map_or("", |k| k.as_str());
         let fields = [
             ("attempt", attempt.as_str()),
             ("agent", &*chosen.name),
@@ -288,111 +308,126 @@
         self.entry.node.event("request.sent", &fields);
     }
 
-    fn left(&self) -> Duration {
-        self.ask.deadline.since(self.entry.node.now())
+    fn time_left(&self) -> Duration {
+        self.checked.deadline.since(self.entry.node.now())
     }
 
-    /// An agent that nothing is known of is asked for its incarnation first.
-    async fn incarnation(&self, chosen: &Chosen) -> Option<u64> {
+    /// Returns the agent's incarnation, asking the agent if the entry doesn't
+    /// know it.
+    async fn incarnation(&self, chosen: &ChosenAgent) -> Option<u64> {
         if let Some(known) = chosen.incarnation {
             return Some(known);
         }
         let node = &self.entry.node;
         let report = node.report();
-        let met =
-            node.wire().exchange(chosen.control, MEET_TIMEOUT, report).await;
-        let report = met.ok()?;
+        let exchanged = node
+            .wire()
+            .exchange(chosen.control, INCARNATION_TIMEOUT, report)
+            .await;
+        let report = exchanged.ok()?;
         let incarnation = report.incarnation;
         node.hear(report);
         Some(incarnation)
     }
 
-    /// Nobody can take it now: wait a little, in bounds.
-    async fn nobody(&mut self) -> RetryDecision {
+    /// Pauses because no agent is available, or gives up after `wait_ms` or at
+    /// the deadline.
+    async fn wait_for_agent(&mut self) -> RetryDecision {
         let now = self.entry.node.now();
-        let since = *self.waited.get_or_insert(now);
-        let most = self.entry.millis("wait_ms");
-        if now.since(since) >= most || self.left().is_zero() {
+        let since = *self.waiting_since.get_or_insert(now);
+        let limit = self.entry.millis("wait_ms");
+        if now.since(since) >= limit || self.time_left().is_zero() {
             return self
-                .course
+                .retry
                 .failed(Failure::Refused(Code::NoBackend), false);
         }
         self.tried.clear();
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_PAUSE).await;
         RetryDecision::Retry
     }
 
-    /// Decides what comes after a failure.
-    async fn after(&mut self, failure: Failure) -> RetryDecision {
-        let harm = matches!(failure, Failure::NoResponse | Failure::Failed(_));
-        let more = match failure {
+    /// Decides how to continue after a failed attempt.
+    async fn decide_next(&mut self, failure: Failure) -> RetryDecision {
+        let may_have_run =
+            matches!(failure, Failure::NoResponse | Failure::Failed(_));
+        let may_continue = match failure {
             // Another agent would ask the same guard, or know of the same
-            // ends.
+            // backend servers that ended.
             Failure::Refused(Code::Quarantined) => false,
-            Failure::Refused(code) if guards(code) => false,
-            _ if harm => self.may_retry(),
-            _ => self.may_move(),
+            Failure::Refused(code) if is_guard_failure(code) => false,
+            _ if may_have_run => self.may_run_again(),
+            _ => self.may_send_elsewhere(),
         };
-        let next = self.course.failed(failure, more);
-        if next == RetryDecision::Retry && !harm && self.tried.len() > 1 {
-            // Refused by several: they are switching, or behind.
-            tokio::time::sleep(PAUSE).await;
+        let next = self.retry.failed(failure, may_continue);
+        if next == RetryDecision::Retry
+            && !may_have_run
+            && self.tried.len() > 1
+        {
+            // Several agents refused: they are switching versions, or hold an
+            // older configuration.
+            tokio::time::sleep(RETRY_PAUSE).await;
         }
         next
     }
 
-    /// A request that did not run costs its agent little, so it may move
-    /// until its deadline, or until the time to wait has passed.
-    fn may_move(&mut self) -> bool {
+    /// Returns whether a request that did not run may go to another agent.
+    /// Such a failure costs its agent little, so only the deadline and
+    /// `wait_ms` limit it.
+    fn may_send_elsewhere(&mut self) -> bool {
         let now = self.entry.node.now();
-        let since = *self.waited.get_or_insert(now);
-        let most = self.entry.millis("wait_ms");
-        !self.left().is_zero() && now.since(since) < most
+        let since = *self.waiting_since.get_or_insert(now);
+        let limit = self.entry.millis("wait_ms");
+        !self.time_left().is_zero() && now.since(since) < limit
     }
 
-    /// One that may have run may be tried again within tries and budget.
-    fn may_retry(&mut self) -> bool {
-        self.harmed += 1;
+    /// Returns whether a request that may have run may be attempted again:
+    /// `tries`, the deadline and the retry budget limit this.
+    fn may_run_again(&mut self) -> bool {
+        self.attempts_maybe_run += 1;
         let tries = self.entry.settings.values.number("tries");
-        self.harmed < tries
-            && !self.left().is_zero()
-            && self.entry.budget().spend()
+        self.attempts_maybe_run < tries
+            && !self.time_left().is_zero()
+            && self.entry.retry_budget().spend()
     }
 
     async fn revoke(
         &mut self,
-        chosen: &Chosen,
+        chosen: &ChosenAgent,
         attempt: Attempt,
         incarnation: u64,
         sent: Time,
     ) -> RetryDecision {
         let node = &self.entry.node;
         let within = self.entry.millis("revoke_ms");
-        let word = node
+        let reported = node
             .wire()
             .revoke(chosen.control, within, attempt, incarnation)
             .await;
-        let since = node.now().since(sent);
-        let keep = self.entry.millis("keep_ms");
-        let ran = revocation_outcome(word.ok(), since, keep);
-        let more = ran == Ran::DidNotRun && self.may_move();
-        self.course.revoked(ran, more)
+        let elapsed = node.now().since(sent);
+        let retention = self.entry.millis("keep_ms");
+        let ran = revocation_outcome(reported.ok(), elapsed, retention);
+        let may_continue = ran == Ran::DidNotRun && self.may_send_elsewhere();
+        self.retry.revoked(ran, may_continue)
     }
 }
 
-fn guards(code: Code) -> bool {
+/// Returns whether an agent refused because of the guard of the request's key.
+fn is_guard_failure(code: Code) -> bool {
     matches!(
         code,
         Code::GuardUnreachable | Code::GuardForgetful | Code::GuardFull
     )
 }
 
-enum Read {
+/// An agent's answer: read completely, or begun to stream.
+enum ReadAnswer {
     Whole(Response<Body>),
-    Streamed(Box<Streamed>),
+    Streamed(Box<StreamedAnswer>),
 }
 
+/// The result of a successful attempt. A streamed answer stays counted as in
+/// progress at its agent.
 enum Answered {
     Whole(Response<Body>),
-    Streamed(Box<Streamed>, InFlight),
+    Streamed(Box<StreamedAnswer>, InFlight),
 }
--- a/crates/entry/src/send.rs
+++ b/crates/entry/src/send.rs
@@ -1,4 +1,4 @@
-//! One attempt at one agent.
+//! Sends an attempt to an agent and classifies its answer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,22 +11,23 @@
 use stairhinge_shell::http::{Body, CallError, full, headers};
 
 use crate::Entry;
-use crate::checked_request::{Aim, CheckedRequest};
-use crate::choose::Chosen;
+use crate::checked_request::{CheckedRequest, Requested};
+use crate::choose::ChosenAgent;
 
-/// A failed attempt, and when to come back if the agent said so.
+/// A failed attempt, with the `Retry-After` of the agent's answer if it had
+/// one.
 pub(crate) struct FailedAttempt {
     pub(crate) failure: Failure,
-    pub(crate) back: Option<Duration>,
+    pub(crate) retry_after: Option<Duration>,
 }
 
 impl From<Failure> for FailedAttempt {
     fn from(failure: Failure) -> FailedAttempt {
-        FailedAttempt { failure, back: None }
+        FailedAttempt { failure, retry_after: None }
     }
 }
 
-/// Counts a request at an agent until it is dropped.
+/// Counts a request as in progress at an agent until this is dropped.
 pub(crate) struct InFlight {
     entry: Arc<Entry>,
     name: Arc<str>,
@@ -34,128 +35,136 @@
 
 impl InFlight {
     pub(crate) fn new(entry: &Arc<Entry>, name: &Arc<str>) -> InFlight {
-        entry.seat(name, |s| s.mine += 1);
+        entry.update_agent(name, |s| s.own_requests += 1);
         InFlight { entry: Arc::clone(entry), name: Arc::clone(name) }
     }
 }
 
 impl Drop for InFlight {
     fn drop(&mut self) {
-        self.entry.seat(&self.name, |s| s.mine = s.mine.saturating_sub(1));
+        self.entry.update_agent(&self.name, |s| {
+            s.own_requests = s.own_requests.saturating_sub(1)
+        });
     }
 }
 
 impl Entry {
-    /// Sends one attempt and returns the head of its answer.
+    /// Sends an attempt to the chosen agent. Returns the answer once its head
+    /// has arrived, which may take no longer than `within`.
     pub(crate) async fn send(
         &self,
-        ask: &CheckedRequest,
-        chosen: &Chosen,
+        checked: &CheckedRequest,
+        chosen: &ChosenAgent,
         attempt: &Attempt,
         incarnation: u64,
         suspicion: Suspicion,
         within: Duration,
     ) -> Result<Response<Incoming>, FailedAttempt> {
-        let request = self.request(ask, attempt, incarnation, suspicion);
+        let request =
+            self.build_request(checked, attempt, incarnation, suspicion);
         let request = request.map_err(|err| {
-            log::error!("request: {err}");
+            log::error!("cannot build the request for an agent: {err}");
             Failure::Unsent
         })?;
         let sent = self.node.client().send(chosen.http, request, within).await;
         let response = match sent {
             Ok(response) => response,
             Err(err) => {
-                log::debug!("{}: {err}", chosen.name);
+                log::debug!("attempt at agent {} failed: {err}", chosen.name);
                 let now = self.node.now();
-                self.seat(&chosen.name, |s| s.health.record_failure(now));
+                self.update_agent(&chosen.name, |s| {
+                    s.health.record_failure(now)
+                });
                 return Err(FailedAttempt::from(match err {
                     CallError::Unsent(_) => Failure::Unsent,
                     CallError::Silent(_) => Failure::NoResponse,
                 }));
             }
         };
-        self.learn(chosen, response.headers());
-        match code(response.headers()) {
+        self.record_headers(chosen, response.headers());
+        match error_code(response.headers()) {
             None => {
-                self.seat(&chosen.name, |s| s.health.record_success());
+                self.update_agent(&chosen.name, |s| s.health.record_success());
                 Ok(response)
             }
             Some(code) => {
                 let map = response.headers();
-                let failure = self.refused(chosen, code, map);
-                let back = number(map, "retry-after").map(Duration::from_secs);
-                Err(FailedAttempt { failure, back })
+                let failure = self.record_refusal(chosen, code, map);
+                let retry_after =
+                    number(map, "retry-after").map(Duration::from_secs);
+                Err(FailedAttempt { failure, retry_after })
             }
         }
     }
 
-    fn request(
+    fn build_request(
         &self,
-        ask: &CheckedRequest,
+        checked: &CheckedRequest,
         attempt: &Attempt,
         incarnation: u64,
         suspicion: Suspicion,
     ) -> Result<Request<Body>, hyper::http::Error> {
         let revision = self.node.view().revision();
-        let priority = ask.workspace.priority();
+        let priority = checked.workspace.priority();
         let mut request = Request::builder()
-            .method(ask.method.clone())
-            .uri(&ask.path)
+            .method(checked.method.clone())
+            .uri(&checked.path)
             .header(headers::ATTEMPT, attempt.as_str())
             .header(headers::INCARNATION, incarnation)
             .header(headers::REVISION, revision)
-            .header(headers::FINGERPRINT, ask.fingerprint.to_string())
+            .header(headers::FINGERPRINT, checked.fingerprint.to_string())
             .header(headers::SUSPICION, suspicion.to_string())
             .header(headers::ENGINE_PRIORITY, priority.to_string());
-        if let Some(kind) = &ask.kind {
-            request = request.header("content-type", kind);
+        if let Some(content_type) = &checked.content_type {
+            request = request.header("content-type", content_type);
         }
-        if let Aim::Model(model) = &ask.aim {
+        if let Requested::Model(model) = &checked.requested {
             request = request.header(headers::MODEL, &**model);
         }
-        if let Some(key) = &ask.key {
+        if let Some(key) = &checked.key {
             request = request.header(headers::KEY, key.as_str());
         }
-        if !ask.repeatable {
+        if !checked.repeatable {
             request = request.header(headers::REPEATABLE, "false");
         }
-        request.body(full(ask.body.clone()))
+        request.body(full(checked.body.clone()))
     }
 
-    /// Takes note of what each answer says of its agent.
-    fn learn(&self, chosen: &Chosen, map: &HeaderMap) {
+    /// Records the load and incarnation that an answer reports of its agent.
+    fn record_headers(&self, chosen: &ChosenAgent, map: &HeaderMap) {
         let number = |name| number(map, name);
         let load = number(headers::LOAD);
         let incarnation = number(headers::INCARNATION);
-        self.seat(&chosen.name, |seat| {
+        self.update_agent(&chosen.name, |agent| {
             if let Some(load) = load {
-                seat.told = load as u32;
+                agent.reported_requests = load as u32;
             }
-            if incarnation > seat.incarnation {
-                seat.incarnation = incarnation;
-                seat.leaves = false;
+            if incarnation > agent.incarnation {
+                agent.incarnation = incarnation;
+                agent.leaving = false;
             }
         });
     }
 
-    fn refused(
+    /// Updates the agent's state after a refusal and classifies the failure.
+    fn record_refusal(
         &self,
-        chosen: &Chosen,
+        chosen: &ChosenAgent,
         code: Code,
         map: &HeaderMap,
     ) -> Failure {
         let name = &chosen.name;
         match code {
-            Code::Leaving => self.seat(name, |s| s.leaves = true),
+            Code::Leaving => self.update_agent(name, |s| s.leaving = true),
             Code::Behind => {
                 let revision = number(map, headers::REVISION);
                 if revision != Some(self.node.view().revision()) {
                     self.node.meet(chosen.control);
                 }
             }
-            Code::NotServing | Code::Overloaded => self.send_away(name),
-            // The guard's word, or the lack of it, is not this agent's fault,
-            // nor is a request that ends backend servers.
+            Code::NotServing | Code::Overloaded => self.exclude_briefly(name),
+            // Decisions and failures of a key's guard don't count against the
+            // agent, nor does a request that makes backend servers end.
             Code::Quarantined
             | Code::GuardUnreachable
             | Code::GuardForgetful
@@ -164,7 +173,7 @@
             | Code::DuplicateRan => {}
             _ => {
                 let now = self.node.now();
-                self.seat(name, |s| s.health.record_failure(now));
+                self.update_agent(name, |s| s.health.record_failure(now));
             }
         }
         let ran = map.get(headers::RAN).and_then(|v| v.to_str().ok());
@@ -182,7 +191,7 @@
     }
 }
 
-fn code(map: &HeaderMap) -> Option<Code> {
+fn error_code(map: &HeaderMap) -> Option<Code> {
     let num = number(map, headers::CODE)?;
     Code::from_number(u16::try_from(num).ok()?)
 }
