--- a/crates/cli/src/cmd.rs
+++ b/crates/cli/src/cmd.rs
@@ -1,5 +1,5 @@
-//! The operator's subcommands, one module each. Each returns whether all was
-//! well; if not, the process exits with 1.
+//! The operator's subcommands, one module each. Each returns whether it
+//! succeeded; if not, the process exits with status 1.
 
 pub mod check;
 pub mod demo;
@@ -13,5 +13,5 @@
 
 use std::time::Duration;
 
-/// How long a call to a process may take.
-pub const WITHIN: Duration = Duration::from_secs(5);
+/// Timeout of a control call to one process.
+pub const CONTROL_TIMEOUT: Duration = Duration::from_secs(5);
--- a/crates/cli/src/cmd/drain.rs
+++ b/crates/cli/src/cmd/drain.rs
@@ -1,14 +1,14 @@
-//! `stairhinge drain`: have an instance leave.
+//! `stairhinge drain`: takes an instance out of service.
 
 use std::net::SocketAddr;
 
 use argh::FromArgs;
 use stairhinge_shell::control::Wire;
 
-use super::WITHIN;
-use super::explain::find;
+use super::CONTROL_TIMEOUT;
+use super::explain::find_control_address;
 
-/// have an instance take no new work; what is in progress finishes
+/// stop an instance from taking new work; requests in progress finish
 #[derive(FromArgs)]
 #[argh(subcommand, name = "drain")]
 pub struct Args {
@@ -18,20 +18,21 @@
     /// control address of any process that knows the instance
     #[argh(option)]
     at: SocketAddr,
-    /// revision that the order is based on (default: the one in force there)
+    /// declaration revision that the order is based on (default: the revision
+    /// in force at the process given by --at)
     #[argh(option)]
     based_on: Option<u64>,
 }
 
-/// Runs the command; not well if the order is refused.
+/// Runs the command; returns `false` if the instance refuses the order.
 pub async fn run(args: &Args) -> eyre::Result<bool> {
     let wire = Wire::start()?;
-    let addr = find(&wire, args.at, &args.instance).await?;
+    let addr = find_control_address(&wire, args.at, &args.instance).await?;
     let revision = match args.based_on {
         Some(revision) => revision,
-        None => wire.fleet(args.at, WITHIN).await?.0,
+        None => wire.fleet(args.at, CONTROL_TIMEOUT).await?.0,
     };
-    match wire.drain(addr, WITHIN, revision).await {
+    match wire.drain(addr, CONTROL_TIMEOUT, revision).await {
         Ok(()) => {
             println!("{} leaves", args.instance);
             Ok(true)
--- a/crates/cli/src/cmd/status.rs
+++ b/crates/cli/src/cmd/status.rs
@@ -1,4 +1,4 @@
-//! `stairhinge status`: where does each version stand?
+//! `stairhinge status`: shows the rollout state of each version.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,53 +7,59 @@
 use argh::FromArgs;
 use stairhinge_shell::control::{Report, Wire};
 
-use super::WITHIN;
+use super::CONTROL_TIMEOUT;
 
-/// show where each version stands in each data hall
+/// show the rollout state of each version in each data hall
 #[derive(FromArgs)]
 #[argh(subcommand, name = "status")]
 pub struct Args {
-    /// control address of any entry or agent; give one of each hall to see
-    /// all halls freshly
+    /// control address of any entry or agent; give one in each data hall for
+    /// up-to-date reports of all
     #[argh(option)]
     at: Vec<SocketAddr>,
-    /// show each instance too
+    /// also show each instance
     #[argh(switch)]
     instances: bool,
 }
 
-/// Counts of one version in one hall.
+/// State of one version in one data hall.
 #[derive(Default)]
-struct Row {
+struct VersionState {
+    /// Number of instances by state.
     states: BTreeMap<Arc<str>, usize>,
+    /// Sum of the shares of chunks held by fetching instances, per mille.
     share: u32,
+    /// Sum of their fetch rates, KB/s.
     rate: u32,
+    /// What holds up instances, one line each.
     stuck: Vec<String>,
 }
 
-/// Runs the command; not well if something is stuck.
+/// Runs the command; returns `false` if an instance is stuck.
 pub async fn run(args: &Args) -> eyre::Result<bool> {
     let wire = Wire::start()?;
     let mut reports: BTreeMap<Arc<str>, Report> = BTreeMap::new();
     for addr in &args.at {
-        for report in wire.status(*addr, WITHIN).await? {
-            let known = reports.get(&report.name);
-            if known.is_none_or(|k| k.clock < report.clock) {
+        for report in wire.status(*addr, CONTROL_TIMEOUT).await? {
+            let newest = reports.get(&report.name);
+            if newest.is_none_or(|r| r.clock < report.clock) {
                 reports.insert(Arc::clone(&report.name), report);
             }
         }
     }
-    let good = show(reports.values());
+    let none_stuck = print_versions(reports.values());
     if args.instances {
         for report in reports.values() {
-            instance(report);
+            print_instance(report);
         }
     }
-    Ok(good)
+    Ok(none_stuck)
 }
 
-fn show<'a>(reports: impl Iterator<Item = &'a Report>) -> bool {
-    let mut rows: BTreeMap<[Arc<str>; 3], Row> = BTreeMap::new();
+/// Prints a line for each version in each hall, and returns whether no
+/// instance is stuck.
+fn print_versions<'a>(reports: impl Iterator<Item = &'a Report>) -> bool {
+    let mut rows: BTreeMap<[Arc<str>; 3], VersionState> = BTreeMap::new();
     for report in reports {
         if report.model.is_empty() {
             continue;
@@ -73,7 +79,7 @@
             ));
         }
     }
-    let mut good = true;
+    let mut none_stuck = true;
     for ([model, version, hall], row) in &rows {
         print!("{model} {version} {hall}:");
         for (state, count) in &row.states {
@@ -86,13 +92,13 @@
         println!();
         for line in &row.stuck {
             println!("  stuck: {line}");
-            good = false;
+            none_stuck = false;
         }
     }
-    good
+    none_stuck
 }
 
-fn instance(report: &Report) {
+fn print_instance(report: &Report) {
     println!(
         "{} {} revision {} {} {} {} load {}",
         report.name,
