--- a/crates/cli/src/cmd/check.rs
+++ b/crates/cli/src/cmd/check.rs
@@ -1,4 +1,4 @@
-//! `stairhinge check`: is a file fit to be published or started with?
+//! `stairhinge check`: validates a declaration or a settings file.
 
 use std::path::{Path, PathBuf};
 
@@ -14,12 +14,13 @@
     /// file to check
     #[argh(positional)]
     file: PathBuf,
-    /// what it is: declaration, entry or agent (default: by its content)
+    /// kind of file: declaration, entry or agent (default: inferred from the
+    /// content)
     #[argh(option, long = "as")]
     kind: Option<String>,
 }
 
-/// Runs the command.
+/// Runs the command; returns `false` if the file has faults.
 pub fn run(args: &Args) -> bool {
     match check(args) {
         Ok(line) => {
@@ -36,12 +37,12 @@
 }
 
 fn check(args: &Args) -> Result<String, Faults> {
-    let text = read(&args.file)?;
-    let kind = args.kind.as_deref().unwrap_or_else(|| guess(&text));
+    let text = read_document(&args.file)?;
+    let kind = args.kind.as_deref().unwrap_or_else(|| infer_kind(&text));
     match kind {
         "declaration" => Ok(Fleet::parse(&text)?.summary()),
-        "agent" => settings(&text, &stairhinge_agent::table(), "agent"),
-        "entry" => settings(&text, &stairhinge_entry::table(), "entry"),
+        "agent" => check_settings(&text, &stairhinge_agent::table(), "agent"),
+        "entry" => check_settings(&text, &stairhinge_entry::table(), "entry"),
         other => Err(Faults::from(Fault::new(
             Code::OutOfRange,
             0,
@@ -52,8 +53,12 @@
     }
 }
 
-/// Reads a file of bounded size.
-pub fn read(path: &Path) -> Result<String, Faults> {
+/// Reads a UTF-8 file of at most [`MAX_DOCUMENT_BYTES`].
+///
+/// # Errors
+///
+/// [`Code::Unreadable`] or [`Code::TooLarge`].
+pub fn read_document(path: &Path) -> Result<String, Faults> {
     let fault = |code, value: &dyn std::fmt::Display, allowed: &str| {
         let field = path.display().to_string();
         Faults::from(Fault::new(code, 0, field, value, allowed))
@@ -70,26 +75,27 @@
         .map_err(|e| fault(Code::Unreadable, &e, "a readable UTF-8 file"))
 }
 
-/// Only declarations have a revision, and only agents a backend.
-fn guess(text: &str) -> &'static str {
-    let has = |name: &str| text.lines().any(|l| l.starts_with(name));
-    if has("backend:") {
+/// Infers the kind of a file from its top-level keys: only agents have
+/// `backend`, and of the other kinds only entries have `http`.
+fn infer_kind(text: &str) -> &'static str {
+    let has_key = |key: &str| text.lines().any(|l| l.starts_with(key));
+    if has_key("backend:") {
         "agent"
-    } else if has("http:") {
+    } else if has_key("http:") {
         "entry"
     } else {
         "declaration"
     }
 }
 
-fn settings(
+fn check_settings(
     text: &str,
     table: &[stairhinge_shell::settings::Field],
-    what: &str,
+    role: &str,
 ) -> Result<String, Faults> {
     let values = Values::parse(text, table)?;
     Ok(format!(
-        "settings of {what} {} in {}",
+        "settings of {role} {} in {}",
         values.text("name"),
         values.text("hall")
     ))
--- a/crates/cli/src/cmd/diff.rs
+++ b/crates/cli/src/cmd/diff.rs
@@ -1,13 +1,14 @@
-//! `stairhinge diff`: what would a change of the declaration do?
+//! `stairhinge diff`: shows the effects of a change of the declaration.
 
 use std::path::PathBuf;
 
 use argh::FromArgs;
 use stairhinge::declaration::{Fleet, diff};
 
-use super::check::read;
+use super::check::read_document;
 
-/// say what publishing one declaration after another would do
+/// show what publishing a new declaration in place of the current one would
+/// do
 #[derive(FromArgs)]
 #[argh(subcommand, name = "diff")]
 pub struct Args {
@@ -19,11 +20,12 @@
     new: PathBuf,
 }
 
-/// Runs the command; not well if the change would be refused.
+/// Runs the command; returns `false` if the change would be refused because
+/// its revision isn't higher.
 pub fn run(args: &Args) -> eyre::Result<bool> {
     let mut fleets = Vec::new();
     for path in [&args.old, &args.new] {
-        let fleet = read(path).and_then(|text| Fleet::parse(&text));
+        let fleet = read_document(path).and_then(|text| Fleet::parse(&text));
         let name = path.display();
         fleets.push(fleet.map_err(|f| eyre::eyre!("{name}:\n{f}"))?);
     }
