--- a/crates/cli/src/cmd/explain_request.rs
+++ b/crates/cli/src/cmd/explain_request.rs
@@ -1,4 +1,5 @@
-//! `stairhinge explain-request`: why a request ended as it did.
+//! `stairhinge explain-request`: finds the cause of a request's outcome in
+//! logs.
 
 use std::io::Read as _;
 use std::path::{Path, PathBuf};
@@ -11,43 +12,46 @@
 use rand::seq::IndexedRandom as _;
 use stairhinge::explanation::{Explainer, Explanation, LogLine};
 
-/// tell from logs alone why requests of direct serving ended as they did
+/// explain, from logs alone, the outcome of requests that entries sent
+/// directly to replicas
 #[derive(FromArgs)]
 #[argh(subcommand, name = "explain-request")]
 pub struct Args {
-    /// log files (JSON lines, one file a process); - is standard input
+    /// log files (JSON lines, one file per process); - is standard input
     #[argh(positional)]
     files: Vec<PathBuf>,
-    /// the request's id (`Request-Id`)
+    /// id of the request to explain (`Request-Id`)
     #[argh(option)]
     id: Option<String>,
     /// count requests by outcome and kind of cause
     #[argh(switch)]
     summary: bool,
-    /// explain so many failed requests, drawn by lot
+    /// explain this many failed requests, sampled at random
     #[argh(option)]
     draw: Option<usize>,
-    /// what the lot is drawn from; the same seed draws the same
+    /// seed of the random sample; the same seed gives the same sample
     #[argh(option, default = "1")]
     seed: u64,
 }
 
-/// Runs the command.
+/// Runs the command; returns `false` if no log line names the request given
+/// by `--id`.
 pub fn run(args: &Args) -> eyre::Result<bool> {
     let mut explainer = Explainer::new();
     for path in &args.files {
-        read(&mut explainer, path)?;
+        read_log(&mut explainer, path)?;
     }
-    let (read, passed) = (explainer.lines_read(), explainer.lines_skipped());
-    eprintln!("{read} decisions read, {passed} other lines");
+    let (decisions, skipped) =
+        (explainer.lines_read(), explainer.lines_skipped());
+    eprintln!("{decisions} decisions read, {skipped} other lines skipped");
     if args.summary {
         for ((outcome, kind), count) in explainer.summary() {
             println!("{count:>8} {}: {kind}", outcome.name());
         }
     }
-    for id in drawn(&explainer, args) {
+    for id in sample_failed(&explainer, args) {
         if let Some(explanation) = explainer.explain(id) {
-            print(id, &explanation);
+            print_explanation(id, &explanation);
         }
     }
     let Some(id) = &args.id else { return Ok(true) };
@@ -55,11 +59,12 @@
         eprintln!("no line of these logs names request {id}");
         return Ok(false);
     };
-    print(id, &explanation);
+    print_explanation(id, &explanation);
     Ok(true)
 }
 
-fn read(explainer: &mut Explainer, path: &Path) -> eyre::Result<()> {
+/// Reads one log; its process is named after the file.
+fn read_log(explainer: &mut Explainer, path: &Path) -> eyre::Result<()> {
     let text = if path == Path::new("-") {
         let mut text = String::new();
         std::io::stdin().read_to_string(&mut text)?;
@@ -76,27 +81,33 @@
     Ok(())
 }
 
-fn drawn<'a>(explainer: &'a Explainer, args: &Args) -> Vec<&'a Arc<str>> {
+/// Returns a random sample of the failed requests.
+fn sample_failed<'a>(
+    explainer: &'a Explainer,
+    args: &Args,
+) -> Vec<&'a Arc<str>> {
     let Some(count) = args.draw else { return Vec::new() };
     let failed = explainer.failed_requests();
     let mut random = StdRng::seed_from_u64(args.seed);
     failed.sample(&mut random, count).copied().collect()
 }
 
-fn print(id: &str, explanation: &Explanation<'_>) {
+/// Prints an explanation with times relative to the request's first line.
+fn print_explanation(id: &str, explanation: &Explanation<'_>) {
     let history = explanation.history;
     let start = history.lines()[0].uptime_ms();
     let at = |line: &LogLine| line.uptime_ms() as i64 - start as i64;
     let entry = history.lines()[0].process();
     println!("request {id} at {entry}: {}", history.outcome().name());
     for line in &explanation.entry_lines {
-        println!("  {:>7} ms believed  {}", at(line), line.text());
+        println!("  {:>7} ms context   {}", at(line), line.text());
     }
     for line in history.lines() {
         println!("  {:>7} ms request   {}", at(line), line.text());
     }
     for line in &explanation.agent_lines {
-        // Clocks of instances differ.
+        // Uptimes of different processes can't be compared, so this uses wall
+        // clocks; these may differ between machines, hence the `~`.
         let at = line.wall_ms() as i64 - history.lines()[0].wall_ms() as i64;
         println!(" ~{at:>7} ms {} {}", line.process(), line.text());
     }
--- a/crates/cli/src/cmd/timeline.rs
+++ b/crates/cli/src/cmd/timeline.rs
@@ -1,4 +1,5 @@
-//! `stairhinge timeline`: the events of many processes in one order.
+//! `stairhinge timeline`: merges the events of many processes in causal
+//! order.
 
 use std::path::PathBuf;
 
@@ -10,10 +11,10 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "timeline")]
 pub struct Args {
-    /// log files (JSON lines); lines that are no events are passed over
+    /// log files (JSON lines); lines that aren't events are skipped
     #[argh(positional)]
     files: Vec<PathBuf>,
-    /// only events of a request, by part of its attempt or key
+    /// only events of a request, given a part of its attempt id or key
     #[argh(option)]
     request: Option<String>,
     /// only events of a version
@@ -22,7 +23,7 @@
     /// only events of an instance
     #[argh(option)]
     instance: Option<String>,
-    /// also draw it as a picture (SVG)
+    /// also write the time line to this file as SVG
     #[argh(option)]
     svg: Option<PathBuf>,
 }
@@ -30,12 +31,12 @@
 /// Runs the command.
 pub fn run(args: &Args) -> eyre::Result<bool> {
     let mut events = Vec::new();
-    let mut passed = 0;
+    let mut skipped = 0;
     for path in &args.files {
         for line in std::fs::read_to_string(path)?.lines() {
             match Event::parse(line) {
                 Ok(event) => events.push(event),
-                Err(_) => passed += 1,
+                Err(_) => skipped += 1,
             }
         }
     }
@@ -45,16 +46,16 @@
         instance: args.instance.clone(),
     };
     let events = merge(events, &filter);
-    let from = events.first().map_or(0, |e| Clock::wall(e.clock));
+    let start = events.first().map_or(0, |e| Clock::wall(e.clock));
     for event in &events {
-        let at = Clock::wall(event.clock) - from;
+        let at = Clock::wall(event.clock) - start;
         print!("{at:>8} ms {} {}", event.instance, event.event);
         for (name, value) in &event.fields {
             print!(" {name}={value}");
         }
         println!();
     }
-    eprintln!("{} events, {passed} other lines", events.len());
+    eprintln!("{} events, {skipped} other lines skipped", events.len());
     if let Some(path) = &args.svg {
         std::fs::write(path, render_svg(&events))?;
     }
