--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! `stairhinge`: the operator's command.
+//! `stairhinge`: the operator's command-line tool.
 
 mod cmd;
 
@@ -9,8 +9,9 @@
     check, demo, diff, docs, drain, explain, explain_request, status, timeline,
 };
 
-/// Operates a stairhinge fleet: checks declarations and settings, shows where
-/// versions stand, explains, drains, and merges logs into one time line.
+/// Operates a stairhinge fleet: checks declarations and settings, shows the
+/// rollout of versions, explains rollouts and request failures, drains
+/// instances, and merges logs into one time line.
 #[derive(FromArgs)]
 struct Args {
     #[argh(subcommand)]
@@ -37,8 +38,8 @@
     match run(args.command).await {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
-        // One line with its causes: where it arose in the code helps no
-        // operator.
+        // One line with the chain of causes. The debug format would add the
+        // source location, which is of no use to an operator.
         Err(report) => {
             eprintln!("{report:#}");
             ExitCode::FAILURE
@@ -46,9 +47,9 @@
     }
 }
 
-/// Runs a command, and says whether all was well.
+/// Runs a command and returns whether it succeeded.
 async fn run(command: Command) -> eyre::Result<bool> {
-    let good = match command {
+    let success = match command {
         Command::Check(args) => check::run(&args),
         Command::Diff(args) => diff::run(&args)?,
         Command::Status(args) => status::run(&args).await?,
@@ -59,5 +60,5 @@
         Command::Demo(args) => demo::run(&args).await?,
         Command::Docs(args) => docs::run(&args),
     };
-    Ok(good)
+    Ok(success)
 }
