--- a/crates/cli/tests/processes.rs
+++ b/crates/cli/tests/processes.rs
@@ -1,4 +1,5 @@
-//! The whole path over separate processes, with kills, freezes and stops.
+//! End-to-end tests over separate processes, some of which are killed,
+//! paused or stopped by a signal.
 
 mod support;
 
@@ -23,23 +24,25 @@
     caller.chat(&fleet.client, fleet.entry(hall), "matcher").await
 }
 
-/// A request that must not repeat, with a key.
+/// Returns a request that must not be repeated, with an idempotency key.
 fn keyed(i: usize) -> Caller {
     let prompt = format!("letter {i}");
     Caller::new(&prompt).once(Some(&format!("letter-{i}"))).whole()
 }
 
-/// Sends keyed requests until a guard has come to.
-async fn guards_hear(fleet: &Fleet) {
+/// Sends keyed requests until one is answered. After its start a guard
+/// refuses keys until all grants from before the start have expired.
+async fn wait_for_guards(fleet: &Fleet) {
     let mut sent = 0;
-    until("the guards have come to", async || {
+    until("a guard grants keys", async || {
         sent += 1;
         chat(fleet, 0, &keyed(sent)).await.good()
     })
     .await;
 }
 
-async fn serves(fleet: &Fleet, version: &str, replicas: &[usize]) {
+/// Waits until the replicas serve a version and all entries answer.
+async fn wait_until_serving(fleet: &Fleet, version: &str, replicas: &[usize]) {
     until(version, async || {
         for r in replicas {
             if fleet.version(*r).await != version {
@@ -59,8 +62,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn engines_answer_from_the_start_on_though_they_came_up_late() {
-    let late = Duration::from_millis(300);
-    let fleet = Fleet::start_late(plan(), late).await;
+    let pause = Duration::from_millis(300);
+    let fleet = Fleet::start_with_paused_engines(plan(), pause).await;
     for r in 0..4 {
         fleet.version(r).await;
     }
@@ -69,7 +72,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_goes_through_separate_programs_and_a_switch() {
     let mut fleet = Fleet::start(plan()).await;
-    serves(&fleet, "v1", &[0, 1, 2, 3]).await;
+    wait_until_serving(&fleet, "v1", &[0, 1, 2, 3]).await;
     let whole = chat(&fleet, 0, &Caller::new("a").whole()).await;
     assert!(whole.good() && whole.content.starts_with("v1/"), "{whole:?}");
     let call = Caller::new("notice");
@@ -107,10 +110,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_frozen_agent_wakes_and_serves_nothing_old() {
     let mut fleet = Fleet::start(plan()).await;
-    serves(&fleet, "v1", &[0, 1, 2, 3]).await;
+    wait_until_serving(&fleet, "v1", &[0, 1, 2, 3]).await;
     fleet.agents[0].signal("-STOP");
     fleet.publish("v2", 2).await;
-    serves(&fleet, "v2", &[1, 2, 3]).await;
+    wait_until_serving(&fleet, "v2", &[1, 2, 3]).await;
     fleet.agents[0].signal("-CONT");
     for i in 0..60 {
         let caller = Caller::new(format!("woken {i}"));
@@ -119,14 +122,14 @@
         let (version, _) = answer.version().expect("one version");
         assert_eq!(version, "v2");
     }
-    serves(&fleet, "v2", &[0, 1, 2, 3]).await;
+    wait_until_serving(&fleet, "v2", &[0, 1, 2, 3]).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_killed_agent_is_a_plain_may_have_run_at_once() {
     let mut fleet =
         Fleet::start(Plan { halls: 1, replicas: 1, ..plan() }).await;
-    serves(&fleet, "v1", &[0]).await;
+    wait_until_serving(&fleet, "v1", &[0]).await;
     let long = Caller::new("long").once(None).with_tokens(2_000).whole();
     let entry = fleet.entry(0);
     let client = fleet.client.clone();
@@ -140,20 +143,21 @@
     assert_eq!(answer.ran, Some(Ran::MayHaveRun), "{answer:?}");
     assert_eq!(answer.status, 502, "{answer:?}");
     fleet.agents[0].wait().await;
-    // The new process finds the engine loaded and takes it over.
-    fleet.agents[0] = fleet.agent(0);
-    serves(&fleet, "v1", &[0]).await;
+    // The new agent finds the version loaded and goes on with that engine.
+    fleet.agents[0] = fleet.start_agent(0);
+    wait_until_serving(&fleet, "v1", &[0]).await;
     assert_eq!(fleet.runs("long").await, 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_frozen_agent_is_not_waited_for_longer_than_the_deadline() {
     let fleet = Fleet::start(plan()).await;
-    serves(&fleet, "v1", &[0, 1, 2, 3]).await;
-    // The entry must know both agents of its hall; to one that it has never
-    // met it sends nothing, and then says truly that nothing ran.
+    wait_until_serving(&fleet, "v1", &[0, 1, 2, 3]).await;
+    // The entry must have reached both agents of its hall. It sends nothing
+    // to an agent that it never reached, and would correctly answer that
+    // the request didn't run.
     let mut met = 0;
-    until("the entry has met both agents", async || {
+    until("the entry has reached both agents", async || {
         met += 1;
         chat(&fleet, 0, &Caller::new(format!("met {met}"))).await;
         let mut both = true;
@@ -174,17 +178,19 @@
     for agent in &fleet.agents {
         agent.signal("-CONT");
     }
-    serves(&fleet, "v1", &[0, 1, 2, 3]).await;
-    // It lay in the frozen agent's socket and may run now, but once.
+    wait_until_serving(&fleet, "v1", &[0, 1, 2, 3]).await;
+    // The request waited in the socket buffer of the paused agent; it may
+    // run now, but only once.
     assert!(fleet.runs("frozen").await <= 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_frozen_entry_wakes_and_doubles_nothing() {
-    // The window outlasts the freeze: beyond it a key may run again.
+    // The key window is longer than the pause; after the window a key may
+    // run again.
     let fleet = Fleet::start(Plan { key_window_s: 15, ..plan() }).await;
-    serves(&fleet, "v1", &[0, 1, 2, 3]).await;
-    guards_hear(&fleet).await;
+    wait_until_serving(&fleet, "v1", &[0, 1, 2, 3]).await;
+    wait_for_guards(&fleet).await;
     let mut tasks = Vec::new();
     for i in 1_000..1_040 {
         let (client, entry) = (fleet.client.clone(), fleet.entry(0));
@@ -193,8 +199,8 @@
             caller.chat(&client, entry, "matcher").await
         }));
     }
-    // Frozen wherever the requests are: before the claim, after it, in
-    // flight.
+    // The pause hits the requests at any stage: before the claim of the key,
+    // after it, or after they were sent.
     fleet.entries[0].signal("-STOP");
     for i in 1_000..1_040 {
         chat(&fleet, 1, &keyed(i)).await;
@@ -212,8 +218,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_killed_guard_grants_nothing_until_it_is_safe() {
     let mut fleet = Fleet::start(Plan { key_window_s: 10, ..plan() }).await;
-    serves(&fleet, "v1", &[0, 1, 2, 3]).await;
-    guards_hear(&fleet).await;
+    wait_until_serving(&fleet, "v1", &[0, 1, 2, 3]).await;
+    wait_for_guards(&fleet).await;
     let mut ran = Vec::new();
     for i in 1_000..1_030 {
         if chat(&fleet, 0, &keyed(i)).await.good() {
@@ -223,15 +229,18 @@
     for r in [0, 3] {
         fleet.agents[r].signal("-KILL");
         fleet.agents[r].wait().await;
-        fleet.agents[r] = fleet.agent(r);
+        fleet.agents[r] = fleet.start_agent(r);
     }
-    let mut forgetful = 0;
+    let mut refused_by_restarted = 0;
     for i in &ran {
         let again = chat(&fleet, 1, &keyed(*i)).await;
         assert!(!again.good(), "letter {i}: {again:?}");
-        forgetful += usize::from(again.code == 3006);
+        refused_by_restarted += usize::from(again.code == 3006);
     }
-    println!("{forgetful} of {} refused by a restarted guard", ran.len());
+    println!(
+        "{refused_by_restarted} of {} refused by a restarted guard",
+        ran.len()
+    );
     for i in ran {
         assert_eq!(fleet.runs(&format!("letter {i}")).await, 1);
     }
@@ -240,7 +249,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stop_by_signal_cuts_no_request() {
     let mut fleet = Fleet::start(plan()).await;
-    serves(&fleet, "v1", &[0, 1, 2, 3]).await;
+    wait_until_serving(&fleet, "v1", &[0, 1, 2, 3]).await;
     let mut tasks = Vec::new();
     for i in 0..24 {
         let (client, entry) = (fleet.client.clone(), fleet.entry(i % 2));
@@ -274,7 +283,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn status_timeline_and_drain_work_on_processes() {
     let fleet = Fleet::start(plan()).await;
-    serves(&fleet, "v1", &[0, 1, 2, 3]).await;
+    wait_until_serving(&fleet, "v1", &[0, 1, 2, 3]).await;
     let program = env!("CARGO_BIN_EXE_stairhinge");
     let at = fleet.addr(8200).to_string();
     let run = |args: &[&str]| {
@@ -282,25 +291,25 @@
         String::from_utf8_lossy(&out.unwrap().stdout).into_owned()
     };
     until("status shows both halls", async || {
-        let said = run(&["status", "--at", &at, "--instances"]);
-        said.contains("matcher v1 hall-0: 2 serving")
-            && said.contains("matcher v1 hall-1: 2 serving")
+        let output = run(&["status", "--at", &at, "--instances"]);
+        output.contains("matcher v1 hall-0: 2 serving")
+            && output.contains("matcher v1 hall-1: 2 serving")
     })
     .await;
-    let said = run(&["explain", "v1", "agent-0-0", "--at", &at]);
-    assert!(said.contains("100.0 % here"), "{said}");
-    let said = run(&["drain", "agent-0-0", "--at", &at, "--based-on", "0"]);
-    assert!(said.contains("2008"), "{said}");
-    let said = run(&["drain", "agent-0-0", "--at", &at]);
-    assert!(said.contains("leaves"), "{said}");
+    let output = run(&["explain", "v1", "agent-0-0", "--at", &at]);
+    assert!(output.contains("100.0 % here"), "{output}");
+    let output = run(&["drain", "agent-0-0", "--at", &at, "--based-on", "0"]);
+    assert!(output.contains("2008"), "{output}");
+    let output = run(&["drain", "agent-0-0", "--at", &at]);
+    assert!(output.contains("leaves"), "{output}");
     let logs: Vec<_> =
         fleet.agents.iter().map(|p| p.log.display().to_string()).collect();
     let svg = std::env::temp_dir().join(format!("{at}.svg"));
     let svg = svg.display().to_string();
     let mut args = vec!["timeline", "--svg", &svg];
     args.extend(logs.iter().map(String::as_str));
-    let said = run(&args);
-    assert!(said.contains("agent-0-0 serving.leaving"), "{said}");
+    let output = run(&args);
+    assert!(output.contains("agent-0-0 serving.leaving"), "{output}");
     let picture = std::fs::read_to_string(&svg).unwrap();
     std::fs::remove_file(&svg).unwrap();
     assert!(picture.starts_with("<svg") && picture.contains("agent-1-1"));
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! A fleet of separate processes on a loopback address of its own.
+//! A fleet of separate processes on a loopback address that no other fleet
+//! uses.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -13,10 +14,11 @@
 use stairhinge_standins::{Pack, Record, weights};
 use tokio::net::TcpStream;
 
-/// How long anything is waited for.
-pub const LONG: Duration = Duration::from_secs(60);
+/// Timeout of every wait and every call.
+pub const TIMEOUT: Duration = Duration::from_secs(60);
 
-static COUNT: AtomicU32 = AtomicU32::new(1);
+/// Number of the next fleet that this process starts.
+static NEXT_FLEET: AtomicU32 = AtomicU32::new(1);
 
 /// One process of the fleet; killed when dropped.
 pub struct Proc {
@@ -29,27 +31,32 @@
         signal(self.child.id(), name);
     }
 
-    /// Stops the process, and lets it go on after a span.
-    fn hold(&self, span: Duration) {
+    /// Pauses the process with `SIGSTOP` and resumes it after a time.
+    fn pause_for(&self, duration: Duration) {
         let id = self.child.id();
         signal(id, "-STOP");
         tokio::spawn(async move {
-            tokio::time::sleep(span).await;
+            tokio::time::sleep(duration).await;
             signal(id, "-CONT");
         });
     }
 
-    pub fn ended(&mut self) -> Option<ExitStatus> {
+    /// Returns the exit status if the process has exited.
+    pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().unwrap()
     }
 
+    /// Waits until the process exits.
     pub async fn wait(&mut self) -> ExitStatus {
-        let end = tokio::time::Instant::now() + LONG;
+        let end = tokio::time::Instant::now() + TIMEOUT;
         loop {
-            if let Some(status) = self.ended() {
+            if let Some(status) = self.exit_status() {
                 return status;
             }
-            assert!(tokio::time::Instant::now() < end, "does not end");
+            assert!(
+                tokio::time::Instant::now() < end,
+                "the process does not exit"
+            );
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
@@ -87,23 +94,28 @@
 const PLATFORM: u16 = 7001;
 const ORIGIN: u16 = 7002;
 
-/// The directory that the tests' programs are built into.
+/// Returns the path of a program; cargo builds all into one directory.
 fn program(name: &str) -> PathBuf {
-    let own = PathBuf::from(env!("CARGO_BIN_EXE_stairhinge"));
-    own.with_file_name(name)
+    let stairhinge = PathBuf::from(env!("CARGO_BIN_EXE_stairhinge"));
+    stairhinge.with_file_name(name)
 }
 
 impl Fleet {
     /// Starts all processes of a plan and publishes `v1`.
     pub async fn start(plan: Plan) -> Fleet {
-        Fleet::start_late(plan, Duration::ZERO).await
+        Fleet::start_with_paused_engines(plan, Duration::ZERO).await
     }
 
-    /// Starts a fleet on a machine that runs its engines only after a span.
-    pub async fn start_late(plan: Plan, span: Duration) -> Fleet {
+    /// Starts a fleet whose engines are paused for a time right after their
+    /// start, as on a machine that schedules them late.
+    pub async fn start_with_paused_engines(
+        plan: Plan,
+        pause: Duration,
+    ) -> Fleet {
         let id = std::process::id();
-        let n = COUNT.fetch_add(1, Ordering::Relaxed);
-        // A loopback address of its own: ports need not be searched for.
+        let n = NEXT_FLEET.fetch_add(1, Ordering::Relaxed);
+        // Each fleet has a loopback address of its own, so that it can use
+        // fixed ports.
         let (b, c) = (1 + (id >> 8) % 254, id % 256);
         let ip = format!("127.{b}.{c}.{n}");
         let dir = std::env::temp_dir().join(format!("stairhinge-{id}-{n}"));
@@ -120,35 +132,38 @@
             entries: Vec::new(),
             plan,
         };
-        let ports = fleet.start_standins(span);
+        let ports = fleet.start_standins(pause);
         for port in ports {
-            fleet.listens(port).await;
+            fleet.wait_for_port(port).await;
         }
         fleet.publish("v1", 1).await;
-        fleet.list().await;
+        fleet.publish_instances().await;
         for r in 0..fleet.plan.replicas {
-            let agent = fleet.agent(r);
+            let agent = fleet.start_agent(r);
             fleet.agents.push(agent);
         }
         for i in 0..fleet.plan.halls {
             if fleet.plan.service {
-                let more =
-                    format!("plain: true\nbackend: {}\n", fleet.at(7500 + i));
+                let extra = format!(
+                    "plain: true\nbackend: {}\n",
+                    fleet.addr_text(7500 + i)
+                );
                 let name = format!("service-{i}");
-                let proc = fleet.role("agent", &name, i, 7550 + i, &more);
+                let proc =
+                    fleet.start_role("agent", &name, i, 7550 + i, &extra);
                 fleet.services.push(proc);
             }
             let name = format!("entry-{i}-0");
-            let more = fleet.plan.entry.clone();
-            let proc = fleet.role("entry", &name, i, 7600 + i, &more);
+            let extra = fleet.plan.entry.clone();
+            let proc = fleet.start_role("entry", &name, i, 7600 + i, &extra);
             fleet.entries.push(proc);
         }
         fleet
     }
 
-    /// Starts the stand-ins, engines held up for a span, and returns their
-    /// ports.
-    fn start_standins(&mut self, span: Duration) -> Vec<u16> {
+    /// Starts the stand-ins, pauses the engines for a time, and returns the
+    /// ports of all.
+    fn start_standins(&mut self, pause: Duration) -> Vec<u16> {
         let kb = (self.plan.size / 1024).to_string();
         let chunk = (self.plan.chunk / 1024).to_string();
         let mut all: Vec<(&str, u16, Vec<String>)> = vec![
@@ -164,30 +179,35 @@
             ),
         ];
         for r in 0..self.plan.replicas {
-            let lax = (!self.plan.engine.fences).then(|| "--no-fences".into());
-            all.push(("engine", 7100 + r as u16, lax.into_iter().collect()));
+            let no_fences =
+                (!self.plan.engine.fences).then(|| "--no-fences".into());
+            all.push((
+                "engine",
+                7100 + r as u16,
+                no_fences.into_iter().collect(),
+            ));
         }
         for i in 0..self.plan.halls {
             all.push(("service", 7500 + i as u16, vec![]));
         }
         let mut ports = Vec::new();
-        for (what, port, more) in all {
+        for (kind, port, extra) in all {
             ports.push(port);
-            let listen = self.at(port.into());
-            let mut args = vec![what.into(), "--listen".into(), listen];
-            args.extend(more);
-            let name = format!("{what}-{port}");
+            let listen = self.addr_text(port.into());
+            let mut args = vec![kind.into(), "--listen".into(), listen];
+            args.extend(extra);
+            let name = format!("{kind}-{port}");
             let proc = self.spawn("stairhinge-standin", &name, &args);
-            if what == "engine" && span > Duration::ZERO {
-                proc.hold(span);
+            if kind == "engine" && pause > Duration::ZERO {
+                proc.pause_for(pause);
             }
             self.standins.push(proc);
         }
         ports
     }
 
-    /// Waits until a port of the fleet takes connections.
-    async fn listens(&self, port: u16) {
+    /// Waits until a port of the fleet accepts connections.
+    async fn wait_for_port(&self, port: u16) {
         let addr = self.addr(port.into());
         until("a stand-in listens", async || {
             TcpStream::connect(addr).await.is_ok()
@@ -195,18 +215,22 @@
         .await;
     }
 
-    fn at(&self, port: usize) -> String {
+    /// Returns the fleet's address with a port, as it is written in settings.
+    fn addr_text(&self, port: usize) -> String {
         format!("{}:{port}", self.ip)
     }
 
     pub fn addr(&self, port: usize) -> SocketAddr {
-        self.at(port).parse().unwrap()
+        self.addr_text(port).parse().unwrap()
     }
 
+    /// Returns the HTTP address of the entry of a hall.
     pub fn entry(&self, hall: usize) -> SocketAddr {
         self.addr(7600 + hall)
     }
 
+    /// Starts a program that appends its output to a log named after the
+    /// process.
     fn spawn(&self, program: &str, name: &str, args: &[String]) -> Proc {
         let log = self.dir.join(format!("{name}.log"));
         let out = std::fs::OpenOptions::new()
@@ -224,22 +248,23 @@
         Proc { child, log }
     }
 
-    /// Starts an agent or entry; its control port is 1000 above.
-    fn role(
+    /// Starts an agent or entry; its control port is its HTTP port plus
+    /// 1000.
+    fn start_role(
         &self,
         role: &str,
         name: &str,
         hall: usize,
         port: usize,
-        more: &str,
+        extra: &str,
     ) -> Proc {
         let text = format!(
             "name: {name}\nhall: {}\nhttp: {}\ncontrol: {}\nplatform: \
-             {}\nbeat_ms: 200\nstep_ms: 1000\nlinger_ms: 500\n{more}",
+             {}\nbeat_ms: 200\nstep_ms: 1000\nlinger_ms: 500\n{extra}",
             self.plan.hall(hall),
-            self.at(port),
-            self.at(port + 1000),
-            self.at(PLATFORM.into()),
+            self.addr_text(port),
+            self.addr_text(port + 1000),
+            self.addr_text(PLATFORM.into()),
         );
         let path = self.dir.join(format!("{name}.yaml"));
         std::fs::write(&path, text).unwrap();
@@ -248,33 +273,38 @@
     }
 
     /// Starts the agent of a replica.
-    pub fn agent(&self, r: usize) -> Proc {
-        let more = format!(
+    pub fn start_agent(&self, r: usize) -> Proc {
+        let extra = format!(
             "backend: {}\norigin: {}\nsuspect_ms: 1000\n{}",
-            self.at(7100 + r),
-            self.at(ORIGIN.into()),
+            self.addr_text(7100 + r),
+            self.addr_text(ORIGIN.into()),
             self.plan.agent
         );
         let halls = self.plan.halls;
         let name = format!("agent-{}-{}", r % halls, r / halls);
-        self.role("agent", &name, r % halls, 7200 + r, &more)
+        self.start_role("agent", &name, r % halls, 7200 + r, &extra)
     }
 
+    /// Puts a document on the platform; retries until it accepts it.
     async fn put(&self, path: &str, bytes: Vec<u8>) {
         let addr = self.addr(PLATFORM.into());
-        let end = tokio::time::Instant::now() + LONG;
+        let end = tokio::time::Instant::now() + TIMEOUT;
         loop {
             let request = Request::put(path).body(full(bytes.clone()));
-            let sent = self.client.send(addr, request.unwrap(), LONG).await;
+            let sent = self.client.send(addr, request.unwrap(), TIMEOUT).await;
             if sent.is_ok_and(|r| r.status() == 200) {
                 return;
             }
-            assert!(tokio::time::Instant::now() < end, "no platform");
+            assert!(
+                tokio::time::Instant::now() < end,
+                "the platform accepts no document"
+            );
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
 
-    /// Publishes a declaration that serves the version of a seed.
+    /// Publishes a declaration that adds and serves a version, whose weights
+    /// are made from a seed.
     pub async fn publish(&mut self, name: &str, seed: u64) {
         let bytes = weights(seed, self.plan.size);
         let pack = Pack::new(&bytes, self.plan.chunk).unwrap();
@@ -286,7 +316,8 @@
         self.put(&path, text.into_bytes()).await;
     }
 
-    async fn list(&self) {
+    /// Publishes the list of all instances.
+    async fn publish_instances(&self) {
         let mut listing = Listing { revision: 1, instances: Vec::new() };
         let mut add = |name: String, hall: usize, role, port: usize| {
             listing.instances.push(Instance {
@@ -313,14 +344,14 @@
         self.put("/v1/instances?revision=1", json).await;
     }
 
-    /// Returns what the engine of a replica ran.
+    /// Returns the requests that the engine of a replica ran.
     pub async fn records(&self, r: usize) -> Vec<Record> {
         let addr = self.addr(7100 + r);
-        let got = self.client.get(addr, "/record", 1 << 24, LONG).await;
+        let got = self.client.get(addr, "/record", 1 << 24, TIMEOUT).await;
         serde_json::from_slice(&got.unwrap().2).unwrap()
     }
 
-    /// Returns how often a request ran on any engine.
+    /// Returns how often a request ran on all engines together.
     pub async fn runs(&self, prompt: &str) -> usize {
         let mut runs = 0;
         for r in 0..self.plan.replicas {
@@ -330,10 +361,10 @@
         runs
     }
 
-    /// Returns the version that an engine holds.
+    /// Returns the version that the engine of a replica has loaded.
     pub async fn version(&self, r: usize) -> String {
         let addr = self.addr(7100 + r);
-        let got = self.client.get(addr, "/engine", 1 << 20, LONG).await;
+        let got = self.client.get(addr, "/engine", 1 << 20, TIMEOUT).await;
         let json: serde_json::Value =
             serde_json::from_slice(&got.unwrap().2).unwrap();
         json["version"].as_str().unwrap().to_string()
@@ -342,10 +373,11 @@
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        // Kept to be read, or to be cut down to a trace of `tests/replay.rs`.
+        // The logs are for debugging, or to be cut down to a trace for
+        // `tests/replay.rs`.
         let keep = std::env::var_os("STAIRHINGE_KEEP_LOGS").is_some();
         if keep || std::thread::panicking() {
-            eprintln!("logs are left in {}", self.dir.display());
+            eprintln!("logs are kept in {}", self.dir.display());
         } else {
             let _ = std::fs::remove_dir_all(&self.dir);
         }
