--- a/crates/cli/tests/check.rs
+++ b/crates/cli/tests/check.rs
@@ -1,15 +1,17 @@
-//! `stairhinge check` and `diff`, as a pipeline sees them.
+//! `stairhinge check`, `diff` and `status` as a script sees them: exit status
+//! and output.
 
 use std::path::PathBuf;
 use std::process::Command;
 
+/// Runs the command; returns whether it succeeded, and its output.
 fn run(args: &[&str]) -> (bool, String) {
     let out = Command::new(env!("CARGO_BIN_EXE_stairhinge"))
         .args(args)
         .output()
         .unwrap();
-    let said = String::from_utf8_lossy(&out.stdout).into_owned();
-    (out.status.success(), said)
+    let output = String::from_utf8_lossy(&out.stdout).into_owned();
+    (out.status.success(), output)
 }
 
 fn examples() -> PathBuf {
@@ -30,9 +32,9 @@
             if path.extension().is_none_or(|e| e != "yaml") {
                 continue;
             }
-            let (good, said) = run(&["check", path.to_str().unwrap()]);
-            assert!(good, "{said}");
-            assert_eq!(said.lines().count(), 1, "a one-line summary");
+            let (good, output) = run(&["check", path.to_str().unwrap()]);
+            assert!(good, "{output}");
+            assert_eq!(output.lines().count(), 1, "a one-line summary");
             count += 1;
         }
     }
@@ -49,39 +51,40 @@
     let name = path.display().to_string();
     std::fs::write(&path, text.replace("prefer: origin", "prefer: cost"))
         .unwrap();
-    let (good, said) = run(&["check", &name]);
+    let (good, output) = run(&["check", &name]);
     assert!(!good);
     let line = text.lines().position(|l| l.starts_with("prefer")).unwrap() + 1;
-    let want =
+    let expected =
         format!("{name}: line {line}: 2004 prefer: \"cost\"; allowed: time");
-    assert!(said.contains(&want), "{said}");
+    assert!(output.contains(&expected), "{output}");
     std::fs::write(&path, "x".repeat(1_000_001)).unwrap();
-    let (good, said) = run(&["check", &name]);
-    assert!(!good && said.contains("2005"), "{said}");
+    let (good, output) = run(&["check", &name]);
+    assert!(!good && output.contains("2005"), "{output}");
     std::fs::remove_file(&path).unwrap();
-    let (good, said) = run(&["check", &name]);
-    assert!(!good && said.contains("2009"), "{said}");
+    let (good, output) = run(&["check", &name]);
+    assert!(!good && output.contains("2009"), "{output}");
 }
 
 #[test]
 fn diff_refuses_a_revision_that_does_not_rise() {
     let path = examples().join("haneul/fleet.yaml");
     let name = path.to_str().unwrap();
-    let (good, said) = run(&["diff", name, name]);
-    assert!(!good && said.contains("REFUSED"), "{said}");
+    let (good, output) = run(&["diff", name, name]);
+    assert!(!good && output.contains("REFUSED"), "{output}");
 }
 
-/// A file that cannot be read has no line.
+/// A file that can't be read has no line, so its fault must name none.
 #[test]
 fn a_missing_file_is_named_without_a_line() {
-    let (good, said) = run(&["check", "/nowhere/fleet.yaml"]);
+    let (good, output) = run(&["check", "/nowhere/fleet.yaml"]);
     assert!(!good);
-    assert!(said.contains("2009"), "{said}");
-    assert!(said.contains("/nowhere/fleet.yaml"), "{said}");
-    assert!(!said.contains("line 0"), "{said}");
+    assert!(output.contains("2009"), "{output}");
+    assert!(output.contains("/nowhere/fleet.yaml"), "{output}");
+    assert!(!output.contains("line 0"), "{output}");
 }
 
-/// Nobody listens on the port of a listener that has just been dropped.
+/// An error must be printed as one line without a backtrace. The port of a
+/// listener that has just been dropped refuses connections.
 #[test]
 fn a_refused_connection_is_told_in_one_line() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
@@ -91,8 +94,8 @@
         .args(["status", "--at", &addr])
         .output()
         .unwrap();
-    let said = String::from_utf8_lossy(&out.stderr).into_owned();
+    let output = String::from_utf8_lossy(&out.stderr).into_owned();
     assert!(!out.status.success());
-    assert!(said.contains("5003") && said.contains(&addr), "{said}");
-    assert_eq!(said.lines().count(), 1, "{said}");
+    assert!(output.contains("5003") && output.contains(&addr), "{output}");
+    assert_eq!(output.lines().count(), 1, "{output}");
 }
--- a/crates/cli/tests/docs.rs
+++ b/crates/cli/tests/docs.rs
@@ -1,4 +1,4 @@
-//! The tables of the docs are those of the code.
+//! The tables in the documentation must match the code.
 
 use std::path::PathBuf;
 
@@ -12,7 +12,11 @@
 
 #[test]
 fn every_code_stands_in_errors_md() {
-    assert!(doc("ERRORS.md").contains(&Code::table()), "run docs errors");
+    assert!(
+        doc("ERRORS.md").contains(&Code::table()),
+        "ERRORS.md is out of date: replace its table by the output of \
+         `stairhinge docs errors`"
+    );
 }
 
 #[test]
@@ -22,7 +26,11 @@
         ("entry", stairhinge_entry::table()),
         ("agent", stairhinge_agent::table()),
     ] {
-        assert!(text.contains(&document(&table)), "run docs {name}");
+        assert!(
+            text.contains(&document(&table)),
+            "SETTINGS.md is out of date: replace its table by the output of \
+             `stairhinge docs {name}`"
+        );
     }
 }
 
--- a/crates/cli/tests/explain_request.rs
+++ b/crates/cli/tests/explain_request.rs
@@ -1,17 +1,17 @@
-//! `stairhinge explain-request` over log files.
+//! `stairhinge explain-request` on log files.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-/// A directory that goes when it is dropped.
-struct Logs(PathBuf);
+/// A temporary directory of log files; removed when dropped.
+struct LogDir(PathBuf);
 
-impl Logs {
-    fn new(name: &str) -> Logs {
+impl LogDir {
+    fn new(name: &str) -> LogDir {
         let id = std::process::id();
         let dir = std::env::temp_dir().join(format!("stairhinge-{name}-{id}"));
         std::fs::create_dir_all(&dir).unwrap();
-        Logs(dir)
+        LogDir(dir)
     }
 
     fn file(&self, name: &str, lines: &[&str]) -> PathBuf {
@@ -21,7 +21,7 @@
     }
 }
 
-impl Drop for Logs {
+impl Drop for LogDir {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -42,7 +42,7 @@
 
 #[test]
 fn a_failed_request_is_followed_to_its_cause_over_files() {
-    let logs = Logs::new("explained");
+    let logs = LogDir::new("explained");
     let first = logs.file("front-1.log", &[REFUSED, ENDED, "no decision"]);
     let second = logs.file("front-2.log", &[SERVED]);
     let files = [first.as_path(), second.as_path()];
@@ -64,7 +64,7 @@
 
 #[test]
 fn an_id_that_no_line_names_is_an_error() {
-    let logs = Logs::new("unexplained");
+    let logs = LogDir::new("unexplained");
     let log = logs.file("front-1.log", &[SERVED]);
     let found = explain(&[log.as_path()], &["--id", "r9"]);
     assert!(!found.status.success());
