--- a/crates/shell/src/control.rs
+++ b/crates/shell/src/control.rs
@@ -1,9 +1,9 @@
-//! Calls between the system's processes, over Cap'n Proto RPC.
+//! Control calls between processes, over Cap'n Proto RPC.
 //!
-//! The RPC library is bound to one thread, so each process has one thread
-//! for all its control calls, in and out, whatever the number of roles in it.
-//! [`Wire`] is the handle to that thread; what comes in goes to a
-//! [`Control`].
+//! The RPC library's types cannot move between threads, so each process has
+//! one thread for all incoming and outgoing control calls, whatever the number
+//! of roles in it. [`Wire`] is the handle to that thread; incoming calls are
+//! handled by a [`Control`].
 
 mod convert;
 mod counted;
--- a/crates/shell/src/control/convert.rs
+++ b/crates/shell/src/control/convert.rs
@@ -1,4 +1,4 @@
-//! Between the schema's generated types and the project's own.
+//! Conversions between the generated schema types and the domain types.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/shell/src/control/counted.rs
+++ b/crates/shell/src/control/counted.rs
@@ -1,4 +1,4 @@
-//! A stream that counts its bytes, for the bound on control traffic.
+//! A TCP stream that counts its bytes, to measure control traffic.
 
 use std::io;
 use std::pin::Pin;
@@ -9,7 +9,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A TCP stream that adds what it reads and writes to a counter.
+/// A TCP stream that adds the bytes read and written to a counter.
 pub(super) struct Counted {
     stream: TcpStream,
     bytes: Arc<AtomicU64>,
--- a/crates/shell/src/control/fleet.rs
+++ b/crates/shell/src/control/fleet.rs
@@ -1,4 +1,4 @@
-//! The checked declaration in the schema's form.
+//! Serializes the validated declaration to its schema type.
 
 use stairhinge::declaration::{Fleet, Model, Prefer, Version};
 use stairhinge_schema::fleet_capnp as schema;
--- a/crates/shell/src/control/links.rs
+++ b/crates/shell/src/control/links.rs
@@ -1,4 +1,4 @@
-//! The control thread and its connections.
+//! The control thread and its outgoing connections.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -21,14 +21,14 @@
 
 use super::counted::Counted;
 
-/// Something to be done on the control thread.
+/// A task to spawn on the control thread.
 pub(super) type Job =
     Box<dyn FnOnce(Rc<Links>) -> LocalBoxFuture<'static, ()> + Send>;
 
-/// How long a connection may take to come up.
-const CONNECT: Duration = Duration::from_secs(1);
+/// Timeout to establish a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Runs jobs until the last handle has gone.
+/// Runs jobs until the last [`Wire`](super::Wire) is dropped.
 pub(super) fn control_thread(
     mut jobs: mpsc::UnboundedReceiver<Job>,
     bytes: Arc<AtomicU64>,
@@ -37,7 +37,7 @@
         tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = match built {
         Ok(runtime) => runtime,
-        Err(err) => return log::error!("control runtime: {err}"),
+        Err(err) => return log::error!("cannot start control runtime: {err}"),
     };
     let links = Rc::new(Links {
         peers: RefCell::default(),
@@ -52,10 +52,10 @@
     });
 }
 
-/// The connections of the control thread.
+/// The outgoing connections of the control thread, by peer address.
 pub(super) struct Links {
     peers: RefCell<HashMap<SocketAddr, (u64, peer::Client)>>,
-    /// How many links have been made; numbers them.
+    /// Number of links made so far; the newest has this number as its id.
     made: Cell<u64>,
     bytes: Arc<AtomicU64>,
 }
@@ -64,7 +64,7 @@
     pub(super) async fn call<T, F, Fut>(
         self: &Rc<Links>,
         addr: SocketAddr,
-        within: Duration,
+        timeout: Duration,
         call: F,
     ) -> Result<T, Error>
     where
@@ -75,15 +75,18 @@
             Error::new(Code::PeerLost, format_args!("{addr}: {why}"))
         };
         let (id, client) = self.link(addr).await.map_err(|e| lost(&e))?;
-        match tokio::time::timeout(within, call(client)).await {
+        match tokio::time::timeout(timeout, call(client)).await {
             Ok(Ok(value)) => Ok(value),
             Ok(Err(err)) => {
-                self.drop_link(addr, id);
+                self.remove_link(addr, id);
                 Err(lost(&err))
             }
             Err(_) => {
-                self.drop_link(addr, id);
-                Err(lost(&format!("nothing after {} ms", within.as_millis())))
+                self.remove_link(addr, id);
+                Err(lost(&format!(
+                    "no response within {} ms",
+                    timeout.as_millis()
+                )))
             }
         }
     }
@@ -96,7 +99,8 @@
             return Ok(found.clone());
         }
         let connecting = TcpStream::connect(addr);
-        let stream = tokio::time::timeout(CONNECT, connecting).await??;
+        let stream =
+            tokio::time::timeout(CONNECT_TIMEOUT, connecting).await??;
         let counted = Counted::new(stream, Arc::clone(&self.bytes));
         let (reader, writer) = counted.compat().split();
         let network = twoparty::VatNetwork::new(
@@ -114,16 +118,16 @@
         let links = Rc::clone(self);
         tokio::task::spawn_local(async move {
             if let Err(err) = system.await {
-                log::debug!("control link to {addr}: {err}");
+                log::debug!("control connection to {addr} failed: {err}");
             }
-            // The peer has gone: its successor gets a link of its own.
-            links.drop_link(addr, id);
+            // The connection is closed: a later call opens a new one.
+            links.remove_link(addr, id);
         });
         Ok((id, client))
     }
 
-    /// Forgets a link after a failure, unless a newer one took its place.
-    fn drop_link(&self, addr: SocketAddr, id: u64) {
+    /// Removes a failed link, unless a newer one has replaced it.
+    fn remove_link(&self, addr: SocketAddr, id: u64) {
         let mut peers = self.peers.borrow_mut();
         if peers.get(&addr).is_some_and(|(known, _)| *known == id) {
             peers.remove(&addr);
--- a/crates/shell/src/control/report.rs
+++ b/crates/shell/src/control/report.rs
@@ -1,4 +1,4 @@
-//! What one process tells another about itself.
+//! The status report that processes exchange.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,56 +8,56 @@
 use stairhinge::document::Seen;
 use stairhinge::serving::Phase;
 
-/// What one process tells another about itself.
+/// The status of one process, as it reports it to others.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Report {
     /// The instance's name.
     pub name: Arc<str>,
-    /// Its data hall.
+    /// The data hall of the instance.
     pub hall: Arc<str>,
-    /// The process's incarnation.
+    /// The incarnation number of the process.
     pub incarnation: u64,
-    /// Its hybrid logical clock.
+    /// The time of its hybrid logical clock.
     pub clock: u64,
-    /// Where it takes control calls.
+    /// The address on which it accepts control calls.
     pub control: Option<SocketAddr>,
-    /// How far it has got with the declaration.
+    /// The revision and digest of its declaration.
     pub config: Seen,
-    /// How far it has got with the instance list.
+    /// The revision and digest of its instance list.
     pub listing: Seen,
-    /// The age of the newest news of the platform known to it.
+    /// Time since the platform was last reachable, as far as it knows.
     pub contact: Duration,
-    /// Where it stands; [`Report::LEAVING`] if it is to stop.
+    /// Its serving state; [`Report::LEAVING`] if it is to stop.
     pub state: Arc<str>,
-    /// The model that it serves or is to serve.
+    /// The model that it serves or is assigned to serve.
     pub model: Arc<str>,
     /// The version that it serves or fetches.
     pub version: Arc<str>,
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub load: u32,
-    /// Chunks held of the version wanted, per mille.
+    /// Part of the chunks of the wanted version that it holds, per mille.
     pub share: u32,
-    /// Kilobytes a second at which it fetches.
+    /// Fetch rate in kilobytes per second.
     pub rate: u32,
-    /// What holds it up.
+    /// The code of the error that keeps it from progress, if any.
     pub stuck: Option<Code>,
     /// The digest of its table of poisoned requests.
     pub poison: u64,
 }
 
 impl Report {
-    /// The state of a process that takes no new work for good.
+    /// The state of a process that will take no new work until it stops.
     pub const LEAVING: &str = "leaving";
 
-    /// The state of an entry that takes requests.
+    /// The state of an entry that accepts requests.
     pub const READY: &str = "ready";
 
-    /// Returns whether it says that it serves a model.
+    /// Returns whether the process reports that it serves a model.
     pub fn serves(&self, model: &str) -> bool {
         *self.state == *Phase::Serving.as_str() && *self.model == *model
     }
 
-    /// Returns whether it says that it leaves.
+    /// Returns whether the process reports that it is leaving.
     pub fn leaves(&self) -> bool {
         *self.state == *Report::LEAVING
     }
--- a/crates/shell/src/control/serve.rs
+++ b/crates/shell/src/control/serve.rs
@@ -1,4 +1,4 @@
-//! The receiving side of control calls.
+//! The server side of control calls.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -21,7 +21,7 @@
 use super::{ClaimAsk, Control};
 use crate::Shutdown;
 
-/// Answers control calls on a listener until the process stops.
+/// Serves control calls on a listener until the process shuts down.
 pub(super) async fn accept(
     listener: TcpListener,
     control: Arc<dyn Control>,
@@ -58,17 +58,17 @@
         rpc_twoparty_capnp::Side::Server,
         Default::default(),
     );
-    let client: peer::Client = new_client(Served(control));
+    let client: peer::Client = new_client(ControlServer(control));
     let system = RpcSystem::new(Box::new(network), Some(client.client));
     if let Err(err) = system.await {
-        log::debug!("control connection: {err}");
+        log::debug!("control connection failed: {err}");
     }
 }
 
-/// A process's [`Control`] as the schema's interfaces.
-struct Served(Arc<dyn Control>);
+/// Adapts a [`Control`] to the RPC interfaces of the schema.
+struct ControlServer(Arc<dyn Control>);
 
-impl peer::Server for Served {
+impl peer::Server for ControlServer {
     async fn exchange(
         self: Rc<Self>,
         params: peer::ExchangeParams,
@@ -172,13 +172,13 @@
         _: peer::OperatorParams,
         mut results: peer::OperatorResults,
     ) -> Result<(), capnp::Error> {
-        let served = Served(Arc::clone(&self.0));
+        let served = ControlServer(Arc::clone(&self.0));
         results.get().set_operator(new_client(served));
         Ok(())
     }
 }
 
-impl operator::Server for Served {
+impl operator::Server for ControlServer {
     async fn status(
         self: Rc<Self>,
         _: operator::StatusParams,
--- a/crates/shell/src/control/service.rs
+++ b/crates/shell/src/control/service.rs
@@ -1,4 +1,4 @@
-//! What a process answers to control calls.
+//! The interface that handles control calls, and its message types.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,96 +13,98 @@
 
 use super::Report;
 
-/// What a peer answers to one that lags.
+/// The answer to a peer that pulls a newer revision of a document.
 #[derive(Clone, Debug)]
 pub enum Pulled {
-    /// The document in force, whole.
+    /// The complete document in force.
     Whole(Document),
-    /// The way to it from what the asker holds.
+    /// The difference between the revision that the peer holds and that one.
     Delta(Delta),
 }
 
-/// How far a process has got with both documents.
+/// The revisions of both documents that a process holds.
 #[derive(Clone, Copy, Debug)]
 pub struct News {
-    /// The declaration.
+    /// The revision and digest of its declaration.
     pub config: Seen,
-    /// The instance list.
+    /// The revision and digest of its instance list.
     pub listing: Seen,
-    /// Where the process takes control calls.
+    /// The address on which the process accepts control calls.
     pub control: Option<SocketAddr>,
 }
 
-/// A question for a key.
+/// A request to claim an idempotency key for one attempt.
 #[derive(Clone, Debug)]
 pub struct ClaimAsk {
-    /// The key.
+    /// The idempotency key.
     pub key: Key,
-    /// Who is to hold it.
+    /// The text of the attempt that is to hold it.
     pub holder: Arc<str>,
-    /// The revision of the asker's declaration.
+    /// The revision of the caller's declaration.
     pub revision: u64,
-    /// Whether a later guard asks an earlier one.
+    /// Whether the caller is a guard that asks the key's former guard.
     pub former: bool,
 }
 
-/// A guard's answer.
+/// A guard's answer to a claim.
 #[derive(Clone, Debug)]
 pub struct Grant {
-    /// Granted, or refused with when to come back.
+    /// Granted, or the error and the delay before a retry.
     pub result: Result<(), (Error, Duration)>,
     /// The revision of the guard's declaration.
     pub revision: u64,
 }
 
-/// What a process knows of poisoned requests, in part.
+/// A part of a process's table of poisoned requests.
 #[derive(Clone, Debug)]
 pub struct PoisonTold {
-    /// Of the whole table.
+    /// The digest of the whole table.
     pub digest: u64,
-    /// Some of its records.
+    /// Some of the records of the table.
     pub records: Vec<PoisonRecord>,
-    /// A request that the sender wants to hear of.
+    /// A request whose record the sender asks for.
     pub about: Option<Fingerprint>,
 }
 
-/// What a process answers to control calls.
+/// Handles the control calls that a process receives.
 pub trait Control: Send + Sync {
-    /// Takes in a peer's report and returns the own one.
+    /// Stores a peer's report and returns the report of this process.
     fn exchange(&self, from: Report) -> Report;
 
-    /// Returns what leads from what a peer holds to the document in force,
-    /// if that is newer.
+    /// Returns the document in force, or the difference to it, if it is newer
+    /// than the revision that a peer holds.
     fn pull(&self, kind: Kind, holds: Seen) -> Option<Pulled>;
 
-    /// Takes in how far a peer has got, and returns the same of this process.
+    /// Handles the document revisions of a peer, and returns those of this
+    /// process.
     fn news(&self, from: News) -> News;
 
-    /// Takes in what a peer knows of poisoned requests, and returns what it
-    /// may lack.
+    /// Merges a peer's records of poisoned requests, and returns records that
+    /// the peer may lack.
     fn poison(&self, from: PoisonTold) -> PoisonTold;
 
-    /// Revokes an attempt meant for an incarnation of this agent.
+    /// Revokes an attempt that was sent to an incarnation of this agent, and
+    /// returns whether it ran.
     fn revoke(&self, attempt: &Attempt, incarnation: u64) -> Ran;
 
-    /// Grants a key or refuses it.
+    /// Grants or refuses the claim of a key.
     fn claim(&self, ask: ClaimAsk) -> BoxFuture<'static, Grant>;
 
-    /// Takes note of how a key's holder ended.
+    /// Records whether the holder of a key ran.
     fn settle(&self, key: &Key, holder: &str, ran: Ran);
 
-    /// Returns the reports of all processes known here.
+    /// Returns the reports of this process and of all known peers.
     fn reports(&self) -> Vec<Report>;
 
-    /// Says how a version has come here and what it waits for.
+    /// Explains how a version reached this process, and what it waits for.
     fn explain(&self, version: &str) -> Vec<String>;
 
-    /// Has this process leave, if the order is based on the revision in
-    /// force.
+    /// Starts to drain this process, unless the order is based on a revision
+    /// older than the one in force.
     ///
     /// # Errors
     ///
-    /// [`Code::StaleOrder`].
+    /// [`Code::StaleOrder`] if it is based on an older revision.
     fn drain(&self, based_on: u64) -> Result<(), Error>;
 
     /// Returns the declaration in force.
@@ -110,7 +112,7 @@
 }
 
 impl Grant {
-    /// Returns a refusal.
+    /// Returns a refusal without a delay before a retry.
     pub fn refused(code: Code, why: &str, revision: u64) -> Grant {
         let err = Error::new(code, why);
         Grant { result: Err((err, Duration::ZERO)), revision }
--- a/crates/shell/src/control/wire.rs
+++ b/crates/shell/src/control/wire.rs
@@ -1,4 +1,4 @@
-//! The handle to a process's control thread, and the calls that go out.
+//! The handle to the control thread of a process, and its outgoing calls.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -32,7 +32,7 @@
 }
 
 impl Wire {
-    /// Starts the control thread. It ends with the last handle.
+    /// Starts the control thread, which runs until the last handle is dropped.
     ///
     /// # Errors
     ///
@@ -49,16 +49,16 @@
         Ok(Wire { jobs: tx, bytes })
     }
 
-    /// Returns the bytes of all control calls so far, both directions.
+    /// Returns the bytes sent and received by all control calls so far.
     pub fn bytes(&self) -> u64 {
         self.bytes.load(Ordering::Relaxed)
     }
 
-    /// Answers control calls on a listener until the process stops.
+    /// Serves control calls on a listener until the process shuts down.
     ///
     /// # Errors
     ///
-    /// [`Code::CannotBind`] if the listener cannot be taken over.
+    /// [`Code::CannotBind`] if the listener cannot be set to non-blocking.
     pub fn serve(
         &self,
         listener: std::net::TcpListener,
@@ -76,7 +76,9 @@
                         serve::accept(listener, control, bytes, shutdown)
                             .await;
                     }
-                    Err(err) => log::error!("control listener: {err}"),
+                    Err(err) => {
+                        log::error!("cannot serve control calls: {err}")
+                    }
                 }
             })
         }));
@@ -85,15 +87,15 @@
 
     fn run(&self, job: Job) {
         if self.jobs.send(job).is_err() {
-            log::error!("the control thread is gone");
+            log::error!("the control thread has stopped");
         }
     }
 
-    /// Makes one call on the thread, within a time.
+    /// Makes one call on the control thread, with a timeout.
     async fn call<T, F, Fut>(
         &self,
         addr: SocketAddr,
-        within: Duration,
+        timeout: Duration,
         call: F,
     ) -> Result<T, Error>
     where
@@ -104,28 +106,29 @@
         let (tx, rx) = oneshot::channel();
         self.run(Box::new(move |links| {
             Box::pin(async move {
-                let done = links.call(addr, within, call).await;
-                // The asker may have gone.
+                let done = links.call(addr, timeout, call).await;
+                // The caller may have been cancelled.
                 let _ = tx.send(done);
             })
         }));
         rx.await.unwrap_or_else(|_| {
-            Err(Error::new(Code::Internal, "the control thread is gone"))
+            Err(Error::new(Code::Internal, "the control thread has stopped"))
         })
     }
 
-    /// Exchanges reports.
+    /// Exchanges reports with a peer.
     ///
     /// # Errors
     ///
-    /// [`Code::PeerLost`], as all calls here.
+    /// [`Code::PeerLost`] if the connection or the call fails or times out,
+    /// as for all calls here.
     pub async fn exchange(
         &self,
         addr: SocketAddr,
-        within: Duration,
+        timeout: Duration,
         report: Report,
     ) -> Result<Report, Error> {
-        self.call(addr, within, move |peer| async move {
+        self.call(addr, timeout, move |peer| async move {
             let mut request = peer.exchange_request();
             put_report(&report, request.get().init_report());
             let response = request.send().promise.await?;
@@ -134,7 +137,7 @@
         .await
     }
 
-    /// Tells a peer how far this process has got, and hears the same of it.
+    /// Exchanges the revisions of the documents with a peer.
     ///
     /// # Errors
     ///
@@ -142,10 +145,10 @@
     pub async fn news(
         &self,
         addr: SocketAddr,
-        within: Duration,
+        timeout: Duration,
         news: News,
     ) -> Result<News, Error> {
-        self.call(addr, within, move |peer| async move {
+        self.call(addr, timeout, move |peer| async move {
             let mut request = peer.news_request();
             put_news(&news, request.get().init_news());
             let response = request.send().promise.await?;
@@ -154,7 +157,7 @@
         .await
     }
 
-    /// Tells a peer of poisoned requests, and hears of some.
+    /// Exchanges records of poisoned requests with a peer.
     ///
     /// # Errors
     ///
@@ -162,10 +165,10 @@
     pub async fn poison(
         &self,
         addr: SocketAddr,
-        within: Duration,
+        timeout: Duration,
         told: PoisonTold,
     ) -> Result<PoisonTold, Error> {
-        self.call(addr, within, move |peer| async move {
+        self.call(addr, timeout, move |peer| async move {
             let mut request = peer.poison_request();
             put_poison(&told, request.get().init_poison());
             let response = request.send().promise.await?;
@@ -174,7 +177,8 @@
         .await
     }
 
-    /// Pulls what leads from what is held here to what the peer has newer.
+    /// Pulls a document from a peer, whole or as a difference from `holds`;
+    /// `None` if the peer has no newer revision.
     ///
     /// # Errors
     ///
@@ -182,11 +186,11 @@
     pub async fn pull(
         &self,
         addr: SocketAddr,
-        within: Duration,
+        timeout: Duration,
         kind: Kind,
         holds: Seen,
     ) -> Result<Option<Pulled>, Error> {
-        self.call(addr, within, move |peer| async move {
+        self.call(addr, timeout, move |peer| async move {
             let mut request = peer.pull_request();
             request.get().set_kind(to_kind(kind));
             put_seen(holds, request.get().init_holds());
@@ -200,7 +204,7 @@
         .await
     }
 
-    /// Revokes an attempt meant for an incarnation of an agent.
+    /// Revokes an attempt that was sent to an incarnation of an agent.
     ///
     /// # Errors
     ///
@@ -208,11 +212,11 @@
     pub async fn revoke(
         &self,
         addr: SocketAddr,
-        within: Duration,
+        timeout: Duration,
         attempt: Attempt,
         incarnation: u64,
     ) -> Result<Ran, Error> {
-        self.call(addr, within, move |peer| async move {
+        self.call(addr, timeout, move |peer| async move {
             let mut request = peer.revoke_request();
             request.get().set_attempt(attempt.as_str());
             request.get().set_incarnation(incarnation);
@@ -222,7 +226,7 @@
         .await
     }
 
-    /// Asks a guard for a key.
+    /// Claims an idempotency key from its guard.
     ///
     /// # Errors
     ///
@@ -230,10 +234,10 @@
     pub async fn claim(
         &self,
         addr: SocketAddr,
-        within: Duration,
+        timeout: Duration,
         ask: ClaimAsk,
     ) -> Result<Grant, Error> {
-        self.call(addr, within, move |peer| async move {
+        self.call(addr, timeout, move |peer| async move {
             let mut request = peer.claim_request();
             let mut claim = request.get().init_claim();
             claim.set_key(ask.key.as_str());
@@ -257,20 +261,20 @@
         .await
     }
 
-    /// Tells a guard how the holder of a key ended.
+    /// Tells a guard whether the holder of a key ran.
     ///
     /// # Errors
     ///
-    /// [`Code::PeerLost`]; then the key stays taken for its window.
+    /// [`Code::PeerLost`]; then the key stays claimed until its window ends.
     pub async fn settle(
         &self,
         addr: SocketAddr,
-        within: Duration,
+        timeout: Duration,
         key: Key,
         holder: Arc<str>,
         ran: Ran,
     ) -> Result<(), Error> {
-        self.call(addr, within, move |peer| async move {
+        self.call(addr, timeout, move |peer| async move {
             let mut request = peer.settle_request();
             request.get().set_key(key.as_str());
             request.get().set_holder(&*holder);
@@ -281,7 +285,7 @@
         .await
     }
 
-    /// Returns the reports of all processes that a process knows.
+    /// Returns the reports of all processes known to a process.
     ///
     /// # Errors
     ///
@@ -289,9 +293,9 @@
     pub async fn status(
         &self,
         addr: SocketAddr,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<Vec<Report>, Error> {
-        self.call(addr, within, |peer| async move {
+        self.call(addr, timeout, |peer| async move {
             let request = operator_of(&peer).status_request();
             let response = request.send().promise.await?;
             let mut reports = Vec::new();
@@ -303,7 +307,7 @@
         .await
     }
 
-    /// Asks a process how a version has come there.
+    /// Asks a process to explain how a version reached it.
     ///
     /// # Errors
     ///
@@ -311,10 +315,10 @@
     pub async fn explain(
         &self,
         addr: SocketAddr,
-        within: Duration,
+        timeout: Duration,
         version: Arc<str>,
     ) -> Result<Vec<String>, Error> {
-        self.call(addr, within, move |peer| async move {
+        self.call(addr, timeout, move |peer| async move {
             let mut request = operator_of(&peer).explain_request();
             request.get().set_version(&*version);
             let response = request.send().promise.await?;
@@ -327,7 +331,8 @@
         .await
     }
 
-    /// Orders a process to leave, based on a revision.
+    /// Orders a process to drain; `based_on` is the revision of the
+    /// declaration that the operator has seen.
     ///
     /// # Errors
     ///
@@ -335,11 +340,11 @@
     pub async fn drain(
         &self,
         addr: SocketAddr,
-        within: Duration,
+        timeout: Duration,
         based_on: u64,
     ) -> Result<(), Error> {
         let (code, why) = self
-            .call(addr, within, move |peer| async move {
+            .call(addr, timeout, move |peer| async move {
                 let mut request = operator_of(&peer).drain_request();
                 request.get().set_based_on(based_on);
                 let response = request.send().promise.await?;
@@ -362,9 +367,9 @@
     pub async fn fleet(
         &self,
         addr: SocketAddr,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<(u64, Vec<(Arc<str>, Arc<str>)>), Error> {
-        self.call(addr, within, |peer| async move {
+        self.call(addr, timeout, |peer| async move {
             let request = operator_of(&peer).fleet_request();
             let response = request.send().promise.await?;
             let fleet = response.get()?.get_fleet()?;
