--- a/crates/shell/src/node.rs
+++ b/crates/shell/src/node.rs
@@ -1,8 +1,8 @@
-//! What one process knows and says: documents, peers, its own state.
+//! The shared state of one process: documents, peers, its own status.
 //!
 //! [`Node`] is shared by all tasks of a process. Requests read its
-//! [`View`] without a lock; the feed and the exchanges with peers replace the
-//! view as a whole when something newer has been taken.
+//! [`View`] without a lock; the tasks that poll the platform and exchange
+//! with peers replace the whole view when they accept a newer document.
 
 mod documents;
 mod feed;
--- a/crates/shell/src/node/documents.rs
+++ b/crates/shell/src/node/documents.rs
@@ -1,4 +1,4 @@
-//! Taking published documents, from the platform and from peers.
+//! Accepts published documents from the platform and from peers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 use super::view::View;
 use crate::control::{News, Pulled};
 
-/// Both documents as far as they have been taken.
+/// The newest accepted revisions of both documents.
 #[derive(Debug)]
 pub(super) struct Documents {
     config: LatestDocument,
@@ -22,8 +22,8 @@
 }
 
 impl Documents {
-    /// Returns documents of which none is held; of the declaration, nothing
-    /// below a revision is taken.
+    /// Returns an empty state that rejects declarations with a revision below
+    /// `floor`.
     pub(super) fn above(floor: u64) -> Documents {
         Documents {
             config: LatestDocument::with_min_revision(floor),
@@ -40,8 +40,8 @@
 }
 
 impl Node {
-    /// Returns what leads from what a peer holds to the document in force, if
-    /// that is newer.
+    /// Returns the document in force, as a delta where possible, if it is
+    /// newer than the revision that a peer holds.
     pub fn lead(&self, kind: Kind, holds: Seen) -> Option<Pulled> {
         let documents = lock(&self.documents);
         let acceptance = documents.of(kind);
@@ -55,12 +55,12 @@
         })
     }
 
-    /// Returns how far this process has got with a document.
+    /// Returns the revision and digest of the document in force.
     pub fn seen(&self, kind: Kind) -> Seen {
         lock(&self.documents).of(kind).seen()
     }
 
-    /// Returns how far this process has got with both documents.
+    /// Returns the revisions and digests of both documents.
     pub fn news(&self) -> News {
         News {
             config: self.seen(Kind::Config),
@@ -69,7 +69,10 @@
         }
     }
 
-    /// Takes in how far a peer has got, and pulls what it has newer.
+    /// Compares a peer's revisions with those in force here, and starts to
+    /// pull each newer document.
+    ///
+    /// Logs a conflict if the same revision has a different digest.
     pub fn hear_news(self: &Arc<Node>, news: News) {
         let Some(addr) = news.control else { return };
         for (kind, theirs) in
@@ -88,12 +91,12 @@
         }
     }
 
-    /// Takes a document if it is newer than the one in force.
+    /// Accepts a document if it is newer than the one in force.
     ///
     /// # Errors
     ///
-    /// [`Code::OlderRevision`], [`Code::OtherDigest`], or the code of the
-    /// first fault if it does not check.
+    /// [`Code::OlderRevision`] or [`Code::OtherDigest`] if its revision or
+    /// digest conflicts, or the code of the first error in its content.
     pub fn take(
         &self,
         kind: Kind,
@@ -126,7 +129,8 @@
         }
         let revision = document.revision();
         acceptance.offer(document)?;
-        // Still under the lock, so that views are replaced in order.
+        // Stored while the lock is held, so that views are replaced in the
+        // order of their revisions.
         self.view.store(Arc::new(view));
         drop(documents);
         if kind == Kind::Config {
@@ -141,12 +145,13 @@
 
     /// Pulls a document from a peer that has a newer one.
     pub async fn pull(self: Arc<Node>, addr: SocketAddr, kind: Kind) {
-        let within = Duration::from_secs(5);
+        let timeout = Duration::from_secs(5);
         let holds = self.seen(kind);
-        let mut pulled = self.wire().pull(addr, within, kind, holds).await;
+        let mut pulled = self.wire().pull(addr, timeout, kind, holds).await;
         if let Ok(Some(Pulled::Delta(delta))) = &pulled {
-            // Another peer may have been quicker; then the base is gone, and
-            // the whole document is asked for.
+            // A concurrent pull from another peer may have replaced the base
+            // of the delta. Unless that brought this revision or a newer one,
+            // the whole document is requested.
             let held = lock(&self.documents).of(kind).current().cloned();
             let whole = held.map(|old| delta.apply(&old));
             pulled = match whole {
@@ -156,7 +161,7 @@
                 }
                 _ => {
                     let nothing = Seen::nothing();
-                    self.wire().pull(addr, within, kind, nothing).await
+                    self.wire().pull(addr, timeout, kind, nothing).await
                 }
             };
         }
@@ -164,11 +169,11 @@
             Ok(Some(Pulled::Whole(document))) => {
                 let from = addr.to_string();
                 if let Err(err) = self.take(kind, document, &from) {
-                    log::debug!("from {addr}: {err}");
+                    log::debug!("rejected document from {addr}: {err}");
                 }
             }
             Ok(_) => {}
-            Err(err) => log::debug!("pull: {err}"),
+            Err(err) => log::debug!("cannot pull document: {err}"),
         }
     }
 }
--- a/crates/shell/src/node/feed.rs
+++ b/crates/shell/src/node/feed.rs
@@ -1,4 +1,7 @@
-//! Reading the platform's service, as rarely as the hall allows.
+//! Reads published documents from the platform.
+//!
+//! Only a few instances of a data hall watch the platform; the others read
+//! from it when they have had no news of it for too long.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,26 +11,30 @@
 
 use super::Node;
 
-/// How long any other call to the platform may take.
-const READ: Duration = Duration::from_secs(2);
+/// Timeout of a call to the platform, beyond the time of a watch.
+const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The pause after a failed call, so that an outage is not hammered.
-const PAUSE: Duration = Duration::from_secs(1);
+/// The delay after a failed call, which keeps retries from overloading a
+/// platform that is recovering from an outage.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// The largest answer taken from the platform.
-const MOST: usize = 1_200_000;
+/// The largest response accepted from the platform, in bytes.
+const MAX_RESPONSE_BYTES: usize = 1_200_000;
 
-/// Keeps one document up to date from the platform.
+/// Keeps one document up to date with the platform.
 pub(super) async fn run(node: Arc<Node>, kind: Kind) {
-    // First of all, whoever this is: a restarted process has no memory.
+    // Every process reads once at start, whatever its rank, since a
+    // restarted process holds no documents.
     let mut first = true;
     loop {
         let step = node.identity().step;
-        let now = if first { PlatformAccess::Read } else { what(&node) };
+        let now =
+            if first { PlatformAccess::Read } else { next_access(&node) };
         first = false;
         let wait = match now {
-            // A watch that says nothing is no news of the platform, so it
-            // ends within the step after which the next rank would ask.
+            // The platform counts as contacted only when a watch ends, so a
+            // watch without a change lasts at most one step, after which the
+            // next rank would read.
             PlatformAccess::Watch => step,
             PlatformAccess::Read => Duration::ZERO,
             PlatformAccess::Idle => {
@@ -35,14 +42,14 @@
                 continue;
             }
         };
-        if let Err(err) = ask(&node, kind, wait).await {
+        if let Err(err) = fetch(&node, kind, wait).await {
             log::debug!("{err}");
-            tokio::time::sleep(PAUSE.min(step)).await;
+            tokio::time::sleep(RETRY_DELAY.min(step)).await;
         }
     }
 }
 
-fn what(node: &Node) -> PlatformAccess {
+fn next_access(node: &Node) -> PlatformAccess {
     let identity = node.identity();
     let mut names = vec![Arc::clone(&identity.name)];
     for instance in node.others(true) {
@@ -58,7 +65,7 @@
     )
 }
 
-async fn ask(
+async fn fetch(
     node: &Arc<Node>,
     kind: Kind,
     wait: Duration,
@@ -76,7 +83,7 @@
     };
     let (status, head, bytes) = node
         .client()
-        .get(platform, &path, MOST, READ + wait)
+        .get(platform, &path, MAX_RESPONSE_BYTES, READ_TIMEOUT + wait)
         .await
         .map_err(|e| lost(&e))?;
     match status {
@@ -91,7 +98,7 @@
         .get("revision")
         .and_then(|v| v.to_str().ok())
         .and_then(|v| v.parse().ok())
-        .ok_or_else(|| lost(&"no revision"))?;
+        .ok_or_else(|| lost(&"response without a valid revision header"))?;
     node.contacted(Duration::ZERO);
     let document = Document::new(revision, bytes.to_vec());
     node.take(kind, document, "platform").map(|_| ())
--- a/crates/shell/src/node/gossip.rs
+++ b/crates/shell/src/node/gossip.rs
@@ -1,8 +1,9 @@
 //! Exchanges of reports with peers.
 //!
-//! A beat at a time, with one peer: mostly of the own hall, now and then of
-//! another. News of a document does not wait for the beat: whoever has taken
-//! one tells a few peers at once, so a hall has it within a few exchanges.
+//! At each interval a process exchanges reports with one peer, usually of its
+//! own data hall and periodically of another. A new document does not wait for
+//! the interval: a process that accepts one notifies a few peers at once, so
+//! it reaches the whole data hall within a few exchanges.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,20 +14,19 @@
 
 use super::{Node, poison};
 
-/// How many peers of the hall are told at once of a new document.
+/// Number of peers of the data hall notified at once of a change.
 const FANOUT: usize = 3;
 
-/// Every how many beats the peer is of another hall.
-const FAR: u64 = 4;
+/// Every `FAR_INTERVAL`th exchange is with a peer of another data hall.
+const FAR_INTERVAL: u64 = 4;
 
-/// How long an exchange may take.
-const WITHIN: Duration = Duration::from_millis(1_500);
+/// Timeout of one exchange.
+const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// A process that was silent for this many beats of a round over the hall is
-/// forgotten.
-const SILENT: Duration = Duration::from_secs(600);
+/// Time without a report after which a process is removed from the peers.
+const PEER_EXPIRY: Duration = Duration::from_secs(600);
 
-/// Exchanges reports until the process stops.
+/// Exchanges reports with peers until the process shuts down.
 pub(super) async fn run(node: Arc<Node>) {
     for addr in node.identity().seeds.clone() {
         meet(&node, addr).await;
@@ -34,32 +34,34 @@
     let mut changes = node.changes();
     let mut beat = 0u64;
     loop {
-        let told = tokio::select! {
+        let notified = tokio::select! {
             changed = changes.changed() => changed.is_ok(),
             () = tokio::time::sleep(node.identity().beat) => false,
         };
-        if told {
-            tell(&node).await;
+        if notified {
+            notify_peers(&node).await;
             continue;
         }
         beat += 1;
-        let near = !beat.is_multiple_of(FAR);
+        let near = !beat.is_multiple_of(FAR_INTERVAL);
         let mut others = node.others(near);
         if others.is_empty() {
             others = node.others(!near);
         }
-        if let Some(peer) = turn(&node, &others, beat) {
+        if let Some(peer) = select_peer(&node, &others, beat) {
             meet(&node, peer.control).await;
         }
         let now = node.now().as_millis();
-        let since = now.saturating_sub(SILENT.as_millis() as u64);
+        let since = now.saturating_sub(PEER_EXPIRY.as_millis() as u64);
         node.peers().forget(stairhinge::Time::from_millis(since));
     }
 }
 
-/// Each process goes through its peers in an order of its own, so that all
-/// are met in one round and nobody is met by all at once.
-fn turn<'a>(
+/// Returns the peer for an exchange.
+///
+/// Each process cycles through its peers in a pseudo-random order of its own:
+/// one round covers all peers, and load does not concentrate on one of them.
+fn select_peer<'a>(
     node: &Node,
     others: &'a [Instance],
     beat: u64,
@@ -74,29 +76,30 @@
     others.iter().find(|i| i.name == *next)
 }
 
-/// Tells a few peers of the hall, and one of each other hall if this process
-/// ranks first here, that something is new.
-async fn tell(node: &Arc<Node>) {
+/// Notifies a few peers of the data hall of the document revisions held here;
+/// the process that ranks first in the hall also notifies one of each other.
+async fn notify_peers(node: &Arc<Node>) {
     let seed = node.view().revision().to_le_bytes();
     let near = node.others(true);
-    let mut addrs = near_few(node, &seed);
+    let mut addrs = near_peers(node, &seed);
     let mut names = vec![Arc::clone(&node.identity().name)];
     names.extend(near.iter().map(|i| Arc::clone(&i.name)));
     let first = rank::first(b"watch", &names);
     if first.as_ref() == Some(&node.identity().name) {
-        addrs.extend(one_a_hall(node, &seed));
+        addrs.extend(one_peer_per_hall(node, &seed));
     }
-    let told = addrs.into_iter().map(|addr| async move {
-        match node.wire().news(addr, WITHIN, node.news()).await {
+    let notifications = addrs.into_iter().map(|addr| async move {
+        match node.wire().news(addr, EXCHANGE_TIMEOUT, node.news()).await {
             Ok(theirs) => node.hear_news(theirs),
-            Err(err) => log::debug!("news: {err}"),
+            Err(err) => log::debug!("cannot notify peer of documents: {err}"),
         }
     });
-    futures::future::join_all(told).await;
+    futures::future::join_all(notifications).await;
 }
 
-/// Returns a few peers of the hall, others for each process and seed.
-pub(super) fn near_few(node: &Node, seed: &[u8]) -> Vec<SocketAddr> {
+/// Returns a few peers of the data hall; the choice depends on the process
+/// and the seed.
+pub(super) fn near_peers(node: &Node, seed: &[u8]) -> Vec<SocketAddr> {
     let mut seed = seed.to_vec();
     seed.extend_from_slice(node.identity().name.as_bytes());
     let near = node.others(true);
@@ -108,8 +111,8 @@
     addrs
 }
 
-/// Returns one peer of each other hall.
-pub(super) fn one_a_hall(node: &Node, seed: &[u8]) -> Vec<SocketAddr> {
+/// Returns one peer of each other data hall, chosen by the seed.
+pub(super) fn one_peer_per_hall(node: &Node, seed: &[u8]) -> Vec<SocketAddr> {
     let far = node.others(false);
     let mut halls: Vec<Arc<str>> = Vec::new();
     for instance in &far {
@@ -129,12 +132,12 @@
 
 pub(super) async fn meet(node: &Arc<Node>, addr: SocketAddr) {
     let report = node.report();
-    match node.wire().exchange(addr, WITHIN, report).await {
+    match node.wire().exchange(addr, EXCHANGE_TIMEOUT, report).await {
         Ok(theirs) => {
             let digest = theirs.poison;
             node.hear(theirs);
             poison::compare(node, addr, digest).await;
         }
-        Err(err) => log::debug!("exchange: {err}"),
+        Err(err) => log::debug!("cannot exchange reports: {err}"),
     }
 }
--- a/crates/shell/src/node/identity.rs
+++ b/crates/shell/src/node/identity.rs
@@ -1,4 +1,4 @@
-//! Who a process is, by its settings.
+//! The identity of a process, from its settings.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,31 +8,31 @@
 
 use crate::settings::Values;
 
-/// Who a process is and how it keeps in touch.
+/// The identity of a process, and its addresses and polling intervals.
 #[derive(Clone, Debug)]
 pub struct Identity {
     /// The instance's name.
     pub name: Arc<str>,
-    /// Its data hall.
+    /// The data hall of the instance.
     pub hall: Arc<str>,
-    /// What runs here.
+    /// The role of the instance.
     pub role: Role,
-    /// Where it takes control calls.
+    /// The address on which it accepts control calls.
     pub control: SocketAddr,
-    /// Where the platform's service answers.
+    /// The address of the platform's service.
     pub platform: SocketAddr,
-    /// Control addresses asked at start, beside the platform.
+    /// Control addresses of peers to exchange reports with at start.
     pub seeds: Vec<SocketAddr>,
-    /// Time between exchanges with a peer.
+    /// Time between two exchanges of reports.
     pub beat: Duration,
-    /// How many instances of a hall hold a watch.
+    /// Number of instances per data hall that watch the platform.
     pub watchers: usize,
-    /// Time between ranks, before the next asks the platform.
+    /// Delay between consecutive ranks in reading from the platform.
     pub step: Duration,
 }
 
 impl Identity {
-    /// Returns the identity in a settings file.
+    /// Returns the identity that a settings file describes.
     pub fn of(values: &Values, role: Role) -> Identity {
         Identity {
             name: values.text("name"),
--- a/crates/shell/src/node/peers.rs
+++ b/crates/shell/src/node/peers.rs
@@ -1,4 +1,4 @@
-//! What has been heard from other processes.
+//! The newest reports received from other processes.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -8,23 +8,23 @@
 
 use crate::control::Report;
 
-/// A report and when it came.
+/// A report and the time of its receipt.
 #[derive(Clone, Debug)]
 pub struct Heard {
-    /// The report.
+    /// The received report.
     pub report: Report,
-    /// When it came, by the own clock.
+    /// The time of receipt by this process's monotonic clock.
     pub at: Time,
 }
 
-/// The newest report from each process.
+/// The newest report from each process, by instance name.
 #[derive(Debug, Default)]
 pub struct Peers {
     map: HashMap<Arc<str>, Heard>,
 }
 
 impl Peers {
-    /// Takes in a report, unless it is from an earlier incarnation.
+    /// Stores a report, unless one of a later incarnation is known.
     pub fn hear(&mut self, report: Report, at: Time) {
         let known = self.map.get(&report.name);
         if known.is_some_and(|k| k.report.incarnation > report.incarnation) {
@@ -33,22 +33,22 @@
         self.map.insert(Arc::clone(&report.name), Heard { report, at });
     }
 
-    /// Returns what was last heard from a process.
+    /// Returns the newest report of an instance.
     pub fn get(&self, name: &str) -> Option<&Heard> {
         self.map.get(name)
     }
 
-    /// Returns where a process takes control calls, as it said itself.
+    /// Returns an instance's control address from its newest report.
     pub fn control(&self, name: &str) -> Option<SocketAddr> {
         self.map.get(name)?.report.control
     }
 
-    /// Returns all that was heard.
+    /// Returns an iterator over all reports, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = &Heard> {
         self.map.values()
     }
 
-    /// Forgets processes that have been silent since before `since`.
+    /// Removes the reports that were received before `since`.
     pub fn forget(&mut self, since: Time) {
         self.map.retain(|_, heard| heard.at >= since);
     }
--- a/crates/shell/src/node/poison.rs
+++ b/crates/shell/src/node/poison.rs
@@ -1,9 +1,9 @@
-//! What a process knows of poisoned requests, and telling its peers.
+//! The table of poisoned requests, and its replication to peers.
 //!
-//! A change goes at once to a few peers of the hall and one of each other
-//! hall, and whoever learns something by it tells a few peers of its own hall.
-//! Reports carry a digest of the table: two processes whose digests differ as
-//! they meet exchange records.
+//! A change is sent at once to a few peers of the data hall and to one of each
+//! other hall; a peer to which it is new forwards it to a few peers of its own
+//! hall. Reports carry a digest of the table: two processes that exchange
+//! reports with different digests also exchange records.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, MutexGuard};
@@ -13,33 +13,33 @@
     Fingerprint, PoisonMessage, PoisonRecord, PoisonTable, Suspicion,
 };
 
-use super::gossip::{near_few, one_a_hall};
+use super::gossip::{near_peers, one_peer_per_hall};
 use super::state::{Node, lock};
 use crate::control::PoisonTold;
 
-/// How long changes are gathered before they are told: all requests at an
-/// engine that ends are broken off within this.
-const GATHER: Duration = Duration::from_millis(5);
+/// Delay that batches changes before they are sent: when an engine ends, all
+/// its requests are broken off within this time.
+const BATCH_DELAY: Duration = Duration::from_millis(5);
 
-/// How long telling one peer may take.
-const WITHIN: Duration = Duration::from_millis(500);
+/// Timeout of an exchange of records with one peer.
+const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How often what is over is dropped.
-const SWEEP: Duration = Duration::from_secs(1);
+/// Interval at which expired records are removed.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Node {
-    /// Returns what is known of poisoned requests.
+    /// Locks and returns the table of poisoned requests.
     pub fn poison(&self) -> MutexGuard<'_, PoisonTable> {
         lock(&self.poison)
     }
 
-    /// Has peers told of what has changed in the table.
+    /// Schedules the changes in the table to be sent to peers.
     pub fn poison_changed(&self) {
         self.poison_change.notify_one();
     }
 
-    /// Takes note that a backend server's process ended under a request of
-    /// which `sent` was known when it was admitted there.
+    /// Records that a backend server's process ended while it ran a request;
+    /// `sent` is the suspicion known when the request was admitted there.
     pub fn ended_under(&self, request: Fingerprint, sent: Suspicion) {
         let now = self.now();
         let name = Arc::clone(&self.identity().name);
@@ -55,7 +55,7 @@
         self.poison_changed();
     }
 
-    /// Takes note of a request's whole answer.
+    /// Records that a request was answered completely.
     pub fn answered_whole(&self, request: Fingerprint) {
         let now = self.now();
         let Some(before) = self.poison().record_answer(request, now) else {
@@ -67,15 +67,15 @@
         self.poison_changed();
     }
 
-    /// Takes in what a peer tells, and returns what it may lack.
+    /// Merges a peer's records, and returns records that it may lack.
     pub fn hear_poison(self: &Arc<Node>, told: PoisonTold) -> PoisonTold {
         let now = self.now();
         let news = self.learn_poison(told.records);
         if !news.is_empty() {
             let node = Arc::clone(self);
             self.detach(async move {
-                let addrs = near_few(&node, &seed(&news));
-                tell(&node, addrs, &news).await;
+                let addrs = near_peers(&node, &seed(&news));
+                send_records(&node, addrs, &news).await;
             });
         }
         let mut table = self.poison();
@@ -107,29 +107,28 @@
         news
     }
 
-    /// Asks a peer what it knows of a request, and tells it what is known
-    /// here.
+    /// Exchanges the records of one request with a peer.
     pub async fn ask_poison(
         self: &Arc<Node>,
         addr: SocketAddr,
         about: Fingerprint,
     ) {
-        let own = self.poison_part(Some(about));
+        let own = self.poison_message(Some(about));
         self.exchange_poison(addr, own).await;
     }
 
-    /// Tells a peer, and learns what it answers. One that cannot be reached
-    /// hears at the next meeting.
+    /// Sends records to a peer, and merges its answer. A peer that cannot be
+    /// reached gets them with the next exchange of reports.
     async fn exchange_poison(&self, addr: SocketAddr, told: PoisonTold) {
-        match self.wire().poison(addr, WITHIN, told).await {
+        match self.wire().poison(addr, EXCHANGE_TIMEOUT, told).await {
             Ok(theirs) => {
                 self.learn_poison(theirs.records);
             }
-            Err(err) => log::debug!("poison: {err}"),
+            Err(err) => log::debug!("cannot exchange poison records: {err}"),
         }
     }
 
-    fn poison_part(&self, about: Option<Fingerprint>) -> PoisonTold {
+    fn poison_message(&self, about: Option<Fingerprint>) -> PoisonTold {
         let now = self.now();
         let mut table = self.poison();
         let digest = table.digest();
@@ -141,9 +140,9 @@
     }
 }
 
-/// Tells peers of changes until the process stops.
+/// Sends changes in the table to peers until the process shuts down.
 pub(super) async fn run(node: Arc<Node>) {
-    let mut sweep = tokio::time::interval(SWEEP);
+    let mut sweep = tokio::time::interval(SWEEP_INTERVAL);
     loop {
         tokio::select! {
             _ = sweep.tick() => {
@@ -151,7 +150,7 @@
                 node.poison().sweep(now);
             }
             () = node.poison_change.notified() => {
-                tokio::time::sleep(GATHER).await;
+                tokio::time::sleep(BATCH_DELAY).await;
             }
         }
         let now = node.now();
@@ -160,22 +159,22 @@
             continue;
         }
         let seed = seed(&news);
-        let mut addrs = near_few(&node, &seed);
-        addrs.extend(one_a_hall(&node, &seed));
-        tell(&node, addrs, &news).await;
+        let mut addrs = near_peers(&node, &seed);
+        addrs.extend(one_peer_per_hall(&node, &seed));
+        send_records(&node, addrs, &news).await;
     }
 }
 
-/// Exchanges records with a peer whose digest differs.
+/// Exchanges records with a peer if its digest differs.
 pub(super) async fn compare(node: &Arc<Node>, addr: SocketAddr, theirs: u64) {
     if node.poison().digest() == theirs {
         return;
     }
-    let own = node.poison_part(None);
+    let own = node.poison_message(None);
     node.exchange_poison(addr, own).await;
 }
 
-async fn tell(
+async fn send_records(
     node: &Arc<Node>,
     addrs: Vec<SocketAddr>,
     records: &[PoisonRecord],
@@ -191,7 +190,7 @@
     futures::future::join_all(told).await;
 }
 
-/// Returns what decides which peers are told of records.
+/// Returns the seed that selects the peers to which records are sent.
 fn seed(records: &[PoisonRecord]) -> Vec<u8> {
     let mut seed = Vec::new();
     for record in records {
--- a/crates/shell/src/node/state.rs
+++ b/crates/shell/src/node/state.rs
@@ -20,9 +20,9 @@
 use crate::http::Client;
 use crate::{Metrics, Shutdown, logs};
 
-/// Where a process stands, as its reports say.
+/// The serving status that this process puts into its reports.
 #[derive(Clone, Debug)]
-struct Standing {
+struct ServingStatus {
     state: Arc<str>,
     model: Arc<str>,
     version: Arc<str>,
@@ -45,7 +45,7 @@
     pub(super) changed: watch::Sender<u64>,
     contact: Mutex<Option<Time>>,
     peers: Mutex<Peers>,
-    standing: Mutex<Standing>,
+    standing: Mutex<ServingStatus>,
     pub(super) poison: Mutex<PoisonTable>,
     pub(super) poison_change: Notify,
     wire: Wire,
@@ -55,9 +55,11 @@
 }
 
 impl Node {
-    /// Returns the state of a process that knows nothing yet, but that a
-    /// revision (`floor`; 0 is none) of the declaration has been in force
-    /// here. It must be called within a tokio runtime.
+    /// Returns the initial state of a process, without documents or peers.
+    ///
+    /// Declarations below revision `floor`, the last one known to have been
+    /// in force here, are rejected; 0 means that there is none. Must be
+    /// called within a tokio runtime.
     ///
     /// # Panics
     ///
@@ -69,7 +71,7 @@
         wire: Wire,
     ) -> Arc<Node> {
         let documents = Documents::above(floor);
-        let standing = Standing {
+        let standing = ServingStatus {
             state: "starting".into(),
             model: "".into(),
             version: "".into(),
@@ -99,7 +101,8 @@
         })
     }
 
-    /// Starts the feed from the platform and the exchanges with peers.
+    /// Starts the tasks that poll the platform and exchange reports and
+    /// poison records with peers.
     pub fn run(self: &Arc<Node>, shutdown: &Shutdown) {
         for kind in Kind::ALL {
             self.spawn(super::feed::run(Arc::clone(self), kind), shutdown);
@@ -127,37 +130,37 @@
         self.runtime.spawn(task);
     }
 
-    /// Returns who this process is.
+    /// Returns the identity of this process.
     pub fn identity(&self) -> &Identity {
         &self.identity
     }
 
-    /// Returns the process's incarnation.
+    /// Returns the incarnation number of this process.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Returns the time by the process's own clock.
+    /// Returns the monotonic time since the start of the process.
     pub fn now(&self) -> Time {
         Time::from_millis(self.start.elapsed().as_millis() as u64)
     }
 
-    /// Returns the calls to other processes.
+    /// Returns the handle for control calls to other processes.
     pub fn wire(&self) -> &Wire {
         &self.wire
     }
 
-    /// Returns the HTTP client.
+    /// Returns the HTTP client of this process.
     pub fn client(&self) -> &Client {
         &self.client
     }
 
-    /// Returns the metrics.
+    /// Returns the metrics of this process.
     pub fn metrics(&self) -> &Metrics {
         &self.metrics
     }
 
-    /// Returns the text of `/metrics`.
+    /// Returns the metrics in the text format served at `/metrics`.
     pub fn metrics_text(&self) -> String {
         let counted = &self.metrics.control;
         counted.inc_by(self.wire.bytes().saturating_sub(counted.get()));
@@ -169,23 +172,25 @@
         self.view.load_full()
     }
 
-    /// Returns a receiver that is told of each change of the view.
+    /// Returns a receiver that is notified when the view changes or the
+    /// process starts to leave.
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
-    /// Returns what has been heard from others.
+    /// Locks and returns the newest reports of other processes.
     pub fn peers(&self) -> MutexGuard<'_, Peers> {
         lock(&self.peers)
     }
 
-    /// Returns the age of the newest news of the platform known here.
+    /// Returns the time since the platform was last known to be reachable,
+    /// from this process or from a peer.
     pub fn contact(&self) -> Duration {
         let at = lock(&self.contact).unwrap_or(Time::ZERO);
         self.now().since(at)
     }
 
-    /// Takes note of news of the platform that is `age` old.
+    /// Records that the platform was reachable `age` ago.
     pub fn contacted(&self, age: Duration) {
         let now = self.now().as_millis();
         let at = now.saturating_sub(age.as_millis() as u64);
@@ -194,7 +199,10 @@
         *contact = Some(at);
     }
 
-    /// Changes what the reports say of where this process stands.
+    /// Sets the serving status in the reports, unless the process is leaving.
+    ///
+    /// `share` is the part of the wanted chunks that is held, per mille;
+    /// `rate` is the fetch rate in kilobytes per second.
     pub fn stand(
         &self,
         state: &str,
@@ -207,7 +215,7 @@
             return;
         }
         let news = *standing.state != *state || *standing.version != *version;
-        *standing = Standing {
+        *standing = ServingStatus {
             state: Arc::from(state),
             model: Arc::from(model),
             version: Arc::from(version),
@@ -223,7 +231,7 @@
         }
     }
 
-    /// Takes note that this process is to stop and takes no new work.
+    /// Marks this process as leaving: it takes no new work from now on.
     pub fn leave(&self) {
         let mut standing = lock(&self.standing);
         if *standing.state == *Report::LEAVING {
@@ -235,27 +243,27 @@
         self.changed.send_modify(|n| *n += 1);
     }
 
-    /// Returns whether this process takes no new work for good.
+    /// Returns whether this process has been marked as leaving.
     pub fn leaving(&self) -> bool {
         *lock(&self.standing).state == *Report::LEAVING
     }
 
-    /// Returns where this process stands.
+    /// Returns the serving state of this process.
     pub fn state(&self) -> Arc<str> {
         Arc::clone(&lock(&self.standing).state)
     }
 
-    /// Takes note of how many requests are in progress.
+    /// Sets the number of requests in progress.
     pub fn carry(&self, requests: usize) {
         self.load.store(requests as u64, Ordering::Relaxed);
     }
 
-    /// Returns the requests in progress.
+    /// Returns the number of requests in progress.
     pub fn load(&self) -> u32 {
         self.load.load(Ordering::Relaxed) as u32
     }
 
-    /// Returns what this process tells others.
+    /// Returns the current report of this process.
     pub fn report(&self) -> Report {
         let standing = lock(&self.standing).clone();
         let documents = lock(&self.documents);
@@ -279,7 +287,8 @@
         }
     }
 
-    /// Returns the reports of all processes known here, the own one first.
+    /// Returns the report of this process, followed by the newest report of
+    /// each known peer.
     pub fn reports(&self) -> Vec<Report> {
         let mut reports = vec![self.report()];
         for heard in self.peers().iter() {
@@ -304,7 +313,8 @@
         ))
     }
 
-    /// Takes in a peer's report, and pulls what the peer has newer.
+    /// Stores a peer's report, and starts to pull each document of which the
+    /// peer has a newer revision.
     pub fn hear(self: &Arc<Node>, report: Report) {
         lock(&self.clock).observe(report.clock);
         self.contacted(report.contact);
@@ -317,14 +327,14 @@
         self.peers().hear(report, now);
     }
 
-    /// Exchanges reports with a process now, in the background.
+    /// Starts an exchange of reports with a process in the background.
     pub fn meet(self: &Arc<Node>, addr: SocketAddr) {
         let node = Arc::clone(self);
         self.detach(async move { super::gossip::meet(&node, addr).await });
     }
 
-    /// Returns the other instances that the list has, of a hall or, without
-    /// one, of all others.
+    /// Returns the other live instances of the list: those of the own data
+    /// hall if `near`, else those of all other data halls.
     pub fn others(&self, near: bool) -> Vec<Instance> {
         let view = self.view();
         let mut list = Vec::new();
@@ -339,7 +349,8 @@
         list
     }
 
-    /// Returns where a process takes control calls.
+    /// Returns the control address of an instance, from the instance list or
+    /// else from its newest report.
     pub fn control_of(&self, name: &str) -> Option<SocketAddr> {
         let view = self.view();
         let listed = view.listing.get(name).map(|i| i.control);
@@ -350,7 +361,7 @@
         lock(&self.clock).tick(wall())
     }
 
-    /// Logs an event of the time line.
+    /// Logs an event of the timeline as a line of JSON.
     pub fn event(&self, event: &str, fields: &[(&str, &str)]) {
         if !log::log_enabled!(target: logs::EVENT, log::Level::Info) {
             return;
@@ -381,8 +392,8 @@
     since.unwrap_or_default().as_millis() as u64
 }
 
-/// A panic while holding a lock leaves values that are whole: each critical
-/// section here replaces values and does not leave them half changed.
+/// Locks a mutex, ignoring poisoning: each critical section in this module
+/// replaces values as a whole, so a panic leaves none partly changed.
 pub(super) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(|e| e.into_inner())
 }
