--- a/crates/agent/src/claim.rs
+++ b/crates/agent/src/claim.rs
@@ -12,7 +12,7 @@
 use stairhinge::request::{Attempt, Key, KeyTable};
 use stairhinge::serving::Lease;
 use stairhinge::{Code, Error, Ran};
-use stairhinge_shell::control::{ClaimAsk, Control as _};
+use stairhinge_shell::control::{ClaimRequest, Control as _};
 use stairhinge_shell::http::Failed;
 
 use crate::Agent;
@@ -68,7 +68,7 @@
                 guard: Arc::clone(&guard),
                 lease: Lease::new(self.node.now(), lease_time),
             };
-            let ask = ClaimAsk {
+            let ask = ClaimRequest {
                 key: key.clone(),
                 holder: Arc::clone(&holder),
                 revision: fleet.revision(),
--- a/crates/agent/src/control.rs
+++ b/crates/agent/src/control.rs
@@ -10,7 +10,7 @@
 use stairhinge::request::{Attempt, ClaimDecision, Key};
 use stairhinge::{Code, Error, Ran};
 use stairhinge_shell::control::{
-    ClaimAsk, Control, Grant, News, PoisonTold, Pulled, Report,
+    ClaimRequest, Control, Grant, News, PoisonUpdate, Pulled, Report,
 };
 
 use crate::Agent;
@@ -26,21 +26,21 @@
             from.config.revision(),
             now,
         );
-        self.node.hear(from);
+        self.node.receive_report(from);
         self.node.report()
     }
 
     fn pull(&self, kind: Kind, holds: Seen) -> Option<Pulled> {
-        self.node.lead(kind, holds)
+        self.node.newer_document(kind, holds)
     }
 
     fn news(&self, from: News) -> News {
-        self.node.hear_news(from);
+        self.node.receive_news(from);
         self.node.news()
     }
 
-    fn poison(&self, from: PoisonTold) -> PoisonTold {
-        self.node.hear_poison(from)
+    fn poison(&self, from: PoisonUpdate) -> PoisonUpdate {
+        self.node.receive_poison(from)
     }
 
     fn revoke(&self, attempt: &Attempt, incarnation: u64) -> Ran {
@@ -51,7 +51,7 @@
         ran
     }
 
-    fn claim(&self, ask: ClaimAsk) -> BoxFuture<'static, Grant> {
+    fn claim(&self, ask: ClaimRequest) -> BoxFuture<'static, Grant> {
         let revision = self.node.view().revision();
         let guard = self.guard_history().guard(&ask.key);
         let name = &self.node.identity().name;
@@ -131,7 +131,7 @@
     }
 
     fn drain(&self, based_on: u64) -> Result<(), Error> {
-        self.node.order(based_on)?;
+        self.node.check_based_on(based_on)?;
         self.leave();
         Ok(())
     }
@@ -147,7 +147,7 @@
         view.fleet.as_ref().map_or(Duration::MAX, |f| f.key_window())
     }
 
-    fn grant(&self, ask: &ClaimAsk, revision: u64) -> Grant {
+    fn grant(&self, ask: &ClaimRequest, revision: u64) -> Grant {
         let now = self.node.now();
         let claim = self.keys().claim(&ask.key, &ask.holder, now);
         let (word, result) = match claim {
@@ -168,7 +168,7 @@
     /// Grants a key only if all of its former guards grant it, too.
     fn ask_former_guards(
         &self,
-        ask: ClaimAsk,
+        ask: ClaimRequest,
         former_guards: Vec<Arc<str>>,
         revision: u64,
     ) -> BoxFuture<'static, Grant> {
@@ -185,7 +185,7 @@
             addrs.push((name, addr));
         }
         async move {
-            let question = ClaimAsk { former: true, ..ask };
+            let question = ClaimRequest { former: true, ..ask };
             for (name, addr) in addrs {
                 let Some(addr) = addr else {
                     return former_unreachable(&name, revision);
--- a/crates/agent/src/drive.rs
+++ b/crates/agent/src/drive.rs
@@ -377,7 +377,7 @@
 
     fn update_report(&self) {
         let node = &self.agent.node;
-        node.carry(self.agent.in_progress.count());
+        node.set_load(self.agent.in_progress.count());
         if self.agent.settings.plain {
             let view = node.view();
             let me = &node.identity().name;
@@ -387,7 +387,12 @@
             let phase =
                 if service.is_some() { Phase::Serving } else { Phase::Absent };
             let name = service.map_or("", |s| s);
-            node.stand(phase.as_str(), (name, ""), (1000, 0), None);
+            node.set_serving_status(
+                phase.as_str(),
+                (name, ""),
+                (1000, 0),
+                None,
+            );
             return;
         }
         let named = self.lifecycle.serving().or(self.lifecycle.wanted());
@@ -395,6 +400,11 @@
             named.map_or(("", ""), |t| (t.model(), t.version()));
         let (share, rate) = self.agent.fetch_rate();
         let state = self.lifecycle.phase().as_str();
-        node.stand(state, (model, version), (share, rate), self.stuck);
+        node.set_serving_status(
+            state,
+            (model, version),
+            (share, rate),
+            self.stuck,
+        );
     }
 }
--- a/crates/agent/src/poison.rs
+++ b/crates/agent/src/poison.rs
@@ -73,14 +73,14 @@
     pub(crate) async fn check_backend(&self, suspect: Option<Suspect>) {
         let Some(suspect) = suspect else { return };
         if is_refused(self.settings.backend, PROBE_TIMEOUT).await {
-            self.node.ended_under(suspect.request, suspect.sent);
+            self.node.record_crash(suspect.request, suspect.sent);
         }
     }
 
     /// Records a complete answer.
     pub(crate) fn record_whole_answer(&self, suspect: Option<Suspect>) {
         if let Some(suspect) = suspect {
-            self.node.answered_whole(suspect.request);
+            self.node.record_answer(suspect.request);
         }
     }
 }
--- a/crates/entry/src/admit.rs
+++ b/crates/entry/src/admit.rs
@@ -127,7 +127,7 @@
 
     fn report_load(&self) {
         let (running, queued) = self.admission_queue().admission.load();
-        self.node.carry(running);
+        self.node.set_load(running);
         self.node.metrics().load(running, queued);
     }
 }
--- a/crates/entry/src/control.rs
+++ b/crates/entry/src/control.rs
@@ -9,28 +9,28 @@
 use stairhinge::request::{Attempt, Key};
 use stairhinge::{Code, Error, Ran};
 use stairhinge_shell::control::{
-    ClaimAsk, Control, Grant, News, PoisonTold, Pulled, Report,
+    ClaimRequest, Control, Grant, News, PoisonUpdate, Pulled, Report,
 };
 
 use crate::Entry;
 
 impl Control for Entry {
     fn exchange(&self, from: Report) -> Report {
-        self.node.hear(from);
+        self.node.receive_report(from);
         self.node.report()
     }
 
     fn pull(&self, kind: Kind, holds: Seen) -> Option<Pulled> {
-        self.node.lead(kind, holds)
+        self.node.newer_document(kind, holds)
     }
 
     fn news(&self, from: News) -> News {
-        self.node.hear_news(from);
+        self.node.receive_news(from);
         self.node.news()
     }
 
-    fn poison(&self, from: PoisonTold) -> PoisonTold {
-        self.node.hear_poison(from)
+    fn poison(&self, from: PoisonUpdate) -> PoisonUpdate {
+        self.node.receive_poison(from)
     }
 
     /// No attempts are sent to an entry, so it has no record of one and can't
@@ -39,7 +39,7 @@
         Ran::MayHaveRun
     }
 
-    fn claim(&self, _: ClaimAsk) -> BoxFuture<'static, Grant> {
+    fn claim(&self, _: ClaimRequest) -> BoxFuture<'static, Grant> {
         let revision = self.node.view().revision();
         let why = "an entry guards no keys";
         let grant = Grant::refused(Code::NotGuard, why, revision);
@@ -57,7 +57,7 @@
     }
 
     fn drain(&self, based_on: u64) -> Result<(), Error> {
-        self.node.order(based_on)?;
+        self.node.check_based_on(based_on)?;
         self.node.leave();
         Ok(())
     }
--- a/crates/entry/src/front.rs
+++ b/crates/entry/src/front.rs
@@ -236,7 +236,7 @@
         };
         let failure = match answered {
             Ok(ReadAnswer::Whole(whole)) => {
-                self.entry.node.answered_whole(self.checked.fingerprint);
+                self.entry.node.record_answer(self.checked.fingerprint);
                 return Ok(Answered::Whole(whole));
             }
             Ok(ReadAnswer::Streamed(streamed)) => {
@@ -326,7 +326,7 @@
             .await;
         let report = exchanged.ok()?;
         let incarnation = report.incarnation;
-        node.hear(report);
+        node.receive_report(report);
         Some(incarnation)
     }
 
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -68,5 +68,5 @@
             return;
         }
     }
-    node.stand(Report::READY, ("", ""), (0, 0), None);
+    node.set_serving_status(Report::READY, ("", ""), (0, 0), None);
 }
--- a/crates/local/tests/poison.rs
+++ b/crates/local/tests/poison.rs
@@ -10,7 +10,7 @@
 use stairhinge::Ran;
 use stairhinge::poison::PoisonRecord;
 use stairhinge_local::{Answer, Caller, Plan, Trial};
-use stairhinge_shell::control::PoisonTold;
+use stairhinge_shell::control::PoisonUpdate;
 use stairhinge_shell::http::{Client, full, headers};
 
 /// The engines that a request may end before all know of it: three, and those
@@ -141,7 +141,7 @@
         age_ms: 0,
         replicas: Vec::new(),
     };
-    let told = PoisonTold { digest: 0, records: vec![record], about: None };
+    let told = PoisonUpdate { digest: 0, records: vec![record], about: None };
     trial.local.wire().poison(control, LONG, told).await.unwrap();
     assert_eq!(at_agent(&mut trial, "a.1.1", "0.0.0").await, 3020);
     assert_eq!(at_agent(&mut trial, "a.1.2", "0.3.1").await, 0);
--- a/crates/shell/src/control.rs
+++ b/crates/shell/src/control.rs
@@ -15,5 +15,7 @@
 mod wire;
 
 pub use self::report::Report;
-pub use self::service::{ClaimAsk, Control, Grant, News, PoisonTold, Pulled};
+pub use self::service::{
+    ClaimRequest, Control, Grant, News, PoisonUpdate, Pulled,
+};
 pub use self::wire::Wire;
--- a/crates/shell/src/control/convert.rs
+++ b/crates/shell/src/control/convert.rs
@@ -8,7 +8,7 @@
 use stairhinge::{Code, Digest, Ran};
 use stairhinge_schema::fleet_capnp as schema;
 
-use super::{News, PoisonTold, Pulled, Report};
+use super::{News, PoisonUpdate, Pulled, Report};
 
 type Read<T> = Result<T, capnp::Error>;
 
@@ -157,7 +157,7 @@
 }
 
 pub(super) fn put_poison(
-    told: &PoisonTold,
+    told: &PoisonUpdate,
     mut to: schema::poison::Builder<'_>,
 ) {
     to.set_digest(told.digest);
@@ -187,13 +187,13 @@
 
 pub(super) fn get_poison(
     from: schema::poison::Reader<'_>,
-) -> Read<PoisonTold> {
+) -> Read<PoisonUpdate> {
     let mut records = Vec::new();
     for record in from.get_records()? {
         records.push(get_poison_record(record)?);
     }
     let about = text(from.get_about())?.parse().ok();
-    Ok(PoisonTold { digest: from.get_digest(), records, about })
+    Ok(PoisonUpdate { digest: from.get_digest(), records, about })
 }
 
 fn get_poison_record(
--- a/crates/shell/src/control/serve.rs
+++ b/crates/shell/src/control/serve.rs
@@ -18,7 +18,7 @@
 };
 use super::counted::Counted;
 use super::fleet::put_fleet;
-use super::{ClaimAsk, Control};
+use super::{ClaimRequest, Control};
 use crate::Shutdown;
 
 /// Serves control calls on a listener until the process shuts down.
@@ -137,7 +137,7 @@
         mut results: peer::ClaimResults,
     ) -> Result<(), capnp::Error> {
         let claim = params.get()?.get_claim()?;
-        let ask = ClaimAsk {
+        let ask = ClaimRequest {
             key: Key::received(&text(claim.get_key())?),
             holder: text(claim.get_holder())?,
             revision: claim.get_revision(),
--- a/crates/shell/src/control/service.rs
+++ b/crates/shell/src/control/service.rs
@@ -35,7 +35,7 @@
 
 /// A request to claim an idempotency key for one attempt.
 #[derive(Clone, Debug)]
-pub struct ClaimAsk {
+pub struct ClaimRequest {
     /// The idempotency key.
     pub key: Key,
     /// The text of the attempt that is to hold it.
@@ -57,7 +57,7 @@
 
 /// A part of a process's table of poisoned requests.
 #[derive(Clone, Debug)]
-pub struct PoisonTold {
+pub struct PoisonUpdate {
     /// The digest of the whole table.
     pub digest: u64,
     /// Some of the records of the table.
@@ -81,14 +81,14 @@
 
     /// Merges a peer's records of poisoned requests, and returns records that
     /// the peer may lack.
-    fn poison(&self, from: PoisonTold) -> PoisonTold;
+    fn poison(&self, from: PoisonUpdate) -> PoisonUpdate;
 
     /// Revokes an attempt that was sent to an incarnation of this agent, and
     /// returns whether it ran.
     fn revoke(&self, attempt: &Attempt, incarnation: u64) -> Ran;
 
     /// Grants or refuses the claim of a key.
-    fn claim(&self, ask: ClaimAsk) -> BoxFuture<'static, Grant>;
+    fn claim(&self, ask: ClaimRequest) -> BoxFuture<'static, Grant>;
 
     /// Records whether the holder of a key ran.
     fn settle(&self, key: &Key, holder: &str, ran: Ran);
--- a/crates/shell/src/control/wire.rs
+++ b/crates/shell/src/control/wire.rs
@@ -20,7 +20,7 @@
 };
 use super::links::{Job, control_thread};
 use super::{
-    ClaimAsk, Control, Grant, News, PoisonTold, Pulled, Report, serve,
+    ClaimRequest, Control, Grant, News, PoisonUpdate, Pulled, Report, serve,
 };
 use crate::Shutdown;
 
@@ -166,8 +166,8 @@
         &self,
         addr: SocketAddr,
         timeout: Duration,
-        told: PoisonTold,
-    ) -> Result<PoisonTold, Error> {
+        told: PoisonUpdate,
+    ) -> Result<PoisonUpdate, Error> {
         self.call(addr, timeout, move |peer| async move {
             let mut request = peer.poison_request();
             put_poison(&told, request.get().init_poison());
@@ -235,7 +235,7 @@
         &self,
         addr: SocketAddr,
         timeout: Duration,
-        ask: ClaimAsk,
+        ask: ClaimRequest,
     ) -> Result<Grant, Error> {
         self.call(addr, timeout, move |peer| async move {
             let mut request = peer.claim_request();
--- a/crates/shell/src/node/documents.rs
+++ b/crates/shell/src/node/documents.rs
@@ -42,7 +42,7 @@
 impl Node {
     /// Returns the document in force, as a delta where possible, if it is
     /// newer than the revision that a peer holds.
-    pub fn lead(&self, kind: Kind, holds: Seen) -> Option<Pulled> {
+    pub fn newer_document(&self, kind: Kind, holds: Seen) -> Option<Pulled> {
         let documents = lock(&self.documents);
         let acceptance = documents.of(kind);
         let held = acceptance.current()?;
@@ -73,7 +73,7 @@
     /// pull each newer document.
     ///
     /// Logs a conflict if the same revision has a different digest.
-    pub fn hear_news(self: &Arc<Node>, news: News) {
+    pub fn receive_news(self: &Arc<Node>, news: News) {
         let Some(addr) = news.control else { return };
         for (kind, theirs) in
             [(Kind::Config, news.config), (Kind::Listing, news.listing)]
--- a/crates/shell/src/node/gossip.rs
+++ b/crates/shell/src/node/gossip.rs
@@ -90,7 +90,7 @@
     }
     let notifications = addrs.into_iter().map(|addr| async move {
         match node.wire().news(addr, EXCHANGE_TIMEOUT, node.news()).await {
-            Ok(theirs) => node.hear_news(theirs),
+            Ok(theirs) => node.receive_news(theirs),
             Err(err) => log::debug!("cannot notify peer of documents: {err}"),
         }
     });
@@ -135,7 +135,7 @@
     match node.wire().exchange(addr, EXCHANGE_TIMEOUT, report).await {
         Ok(theirs) => {
             let digest = theirs.poison;
-            node.hear(theirs);
+            node.receive_report(theirs);
             poison::compare(node, addr, digest).await;
         }
         Err(err) => log::debug!("cannot exchange reports: {err}"),
--- a/crates/shell/src/node/peers.rs
+++ b/crates/shell/src/node/peers.rs
@@ -25,7 +25,7 @@
 
 impl Peers {
     /// Stores a report, unless one of a later incarnation is known.
-    pub fn hear(&mut self, report: Report, at: Time) {
+    pub fn record(&mut self, report: Report, at: Time) {
         let known = self.map.get(&report.name);
         if known.is_some_and(|k| k.report.incarnation > report.incarnation) {
             return;
--- a/crates/shell/src/node/poison.rs
+++ b/crates/shell/src/node/poison.rs
@@ -15,7 +15,7 @@
 
 use super::gossip::{near_peers, one_peer_per_hall};
 use super::state::{Node, lock};
-use crate::control::PoisonTold;
+use crate::control::PoisonUpdate;
 
 /// Delay that batches changes before they are sent: when an engine ends, all
 /// its requests are broken off within this time.
@@ -40,7 +40,7 @@
 
     /// Records that a backend server's process ended while it ran a request;
     /// `sent` is the suspicion known when the request was admitted there.
-    pub fn ended_under(&self, request: Fingerprint, sent: Suspicion) {
+    pub fn record_crash(&self, request: Fingerprint, sent: Suspicion) {
         let now = self.now();
         let name = Arc::clone(&self.identity().name);
         let known = self.poison().record_crash(request, sent, &name, now);
@@ -56,7 +56,7 @@
     }
 
     /// Records that a request was answered completely.
-    pub fn answered_whole(&self, request: Fingerprint) {
+    pub fn record_answer(&self, request: Fingerprint) {
         let now = self.now();
         let Some(before) = self.poison().record_answer(request, now) else {
             return;
@@ -68,7 +68,10 @@
     }
 
     /// Merges a peer's records, and returns records that it may lack.
-    pub fn hear_poison(self: &Arc<Node>, told: PoisonTold) -> PoisonTold {
+    pub fn receive_poison(
+        self: &Arc<Node>,
+        told: PoisonUpdate,
+    ) -> PoisonUpdate {
         let now = self.now();
         let news = self.learn_poison(told.records);
         if !news.is_empty() {
@@ -85,7 +88,7 @@
         if digest != told.digest {
             records.extend(table.next_batch(PoisonMessage::MAX_RECORDS, now));
         }
-        PoisonTold { digest, records, about: None }
+        PoisonUpdate { digest, records, about: None }
     }
 
     fn learn_poison(&self, records: Vec<PoisonRecord>) -> Vec<PoisonRecord> {
@@ -119,7 +122,7 @@
 
     /// Sends records to a peer, and merges its answer. A peer that cannot be
     /// reached gets them with the next exchange of reports.
-    async fn exchange_poison(&self, addr: SocketAddr, told: PoisonTold) {
+    async fn exchange_poison(&self, addr: SocketAddr, told: PoisonUpdate) {
         match self.wire().poison(addr, EXCHANGE_TIMEOUT, told).await {
             Ok(theirs) => {
                 self.learn_poison(theirs.records);
@@ -128,7 +131,7 @@
         }
     }
 
-    fn poison_message(&self, about: Option<Fingerprint>) -> PoisonTold {
+    fn poison_message(&self, about: Option<Fingerprint>) -> PoisonUpdate {
         let now = self.now();
         let mut table = self.poison();
         let digest = table.digest();
@@ -136,7 +139,7 @@
             Some(request) => table.records(&[request], now),
             None => table.next_batch(PoisonMessage::MAX_RECORDS, now),
         };
-        PoisonTold { digest, records, about }
+        PoisonUpdate { digest, records, about }
     }
 }
 
@@ -183,7 +186,7 @@
         for part in records.chunks(PoisonMessage::MAX_RECORDS) {
             let digest = node.poison().digest();
             let told =
-                PoisonTold { digest, records: part.to_vec(), about: None };
+                PoisonUpdate { digest, records: part.to_vec(), about: None };
             node.exchange_poison(addr, told).await;
         }
     });
--- a/crates/shell/src/node/state.rs
+++ b/crates/shell/src/node/state.rs
@@ -203,7 +203,7 @@
     ///
     /// `share` is the part of the wanted chunks that is held, per mille;
     /// `rate` is the fetch rate in kilobytes per second.
-    pub fn stand(
+    pub fn set_serving_status(
         &self,
         state: &str,
         (model, version): (&str, &str),
@@ -254,7 +254,7 @@
     }
 
     /// Sets the number of requests in progress.
-    pub fn carry(&self, requests: usize) {
+    pub fn set_load(&self, requests: usize) {
         self.load.store(requests as u64, Ordering::Relaxed);
     }
 
@@ -302,7 +302,7 @@
     /// # Errors
     ///
     /// [`Code::StaleOrder`] if it is based on an older one.
-    pub fn order(&self, based_on: u64) -> Result<(), Error> {
+    pub fn check_based_on(&self, based_on: u64) -> Result<(), Error> {
         let revision = self.view().revision();
         if based_on >= revision {
             return Ok(());
@@ -315,16 +315,16 @@
 
     /// Stores a peer's report, and starts to pull each document of which the
     /// peer has a newer revision.
-    pub fn hear(self: &Arc<Node>, report: Report) {
+    pub fn receive_report(self: &Arc<Node>, report: Report) {
         lock(&self.clock).observe(report.clock);
         self.contacted(report.contact);
-        self.hear_news(News {
+        self.receive_news(News {
             config: report.config,
             listing: report.listing,
             control: report.control,
         });
         let now = self.now();
-        self.peers().hear(report, now);
+        self.peers().record(report, now);
     }
 
     /// Starts an exchange of reports with a process in the background.
