--- a/crates/shell/src/control/convert.rs
+++ b/crates/shell/src/control/convert.rs
@@ -157,15 +157,15 @@
 }
 
 pub(super) fn put_poison(
-    told: &PoisonUpdate,
+    update: &PoisonUpdate,
     mut to: schema::poison::Builder<'_>,
 ) {
-    to.set_digest(told.digest);
-    if let Some(about) = told.about {
+    to.set_digest(update.digest);
+    if let Some(about) = update.about {
         to.set_about(about.to_string());
     }
-    let mut list = to.init_records(told.records.len() as u32);
-    for (i, record) in told.records.iter().enumerate() {
+    let mut list = to.init_records(update.records.len() as u32);
+    for (i, record) in update.records.iter().enumerate() {
         put_poison_record(record, list.reborrow().get(i as u32));
     }
 }
--- a/crates/shell/src/control/wire.rs
+++ b/crates/shell/src/control/wire.rs
@@ -166,11 +166,11 @@
         &self,
         addr: SocketAddr,
         timeout: Duration,
-        told: PoisonUpdate,
+        update: PoisonUpdate,
     ) -> Result<PoisonUpdate, Error> {
         self.call(addr, timeout, move |peer| async move {
             let mut request = peer.poison_request();
-            put_poison(&told, request.get().init_poison());
+            put_poison(&update, request.get().init_poison());
             let response = request.send().promise.await?;
             get_poison(response.get()?.get_poison()?)
         })
--- a/crates/shell/src/node.rs
+++ b/crates/shell/src/node.rs
@@ -14,6 +14,6 @@
 mod view;
 
 pub use self::identity::Identity;
-pub use self::peers::{Heard, Peers};
+pub use self::peers::{Peers, ReceivedReport};
 pub use self::state::{Node, wall};
 pub use self::view::View;
--- a/crates/shell/src/node/documents.rs
+++ b/crates/shell/src/node/documents.rs
@@ -44,12 +44,12 @@
     /// newer than the revision that a peer holds.
     pub fn newer_document(&self, kind: Kind, holds: Seen) -> Option<Pulled> {
         let documents = lock(&self.documents);
-        let acceptance = documents.of(kind);
-        let held = acceptance.current()?;
+        let latest = documents.of(kind);
+        let held = latest.current()?;
         if held.revision() <= holds.revision() {
             return None;
         }
-        Some(match acceptance.delta(holds) {
+        Some(match latest.delta(holds) {
             Some(delta) => Pulled::Delta(delta),
             None => Pulled::Whole(held.clone()),
         })
@@ -104,19 +104,19 @@
         from: &str,
     ) -> Result<OfferOutcome, Error> {
         let mut documents = lock(&self.documents);
-        let acceptance = match kind {
+        let latest = match kind {
             Kind::Config => &mut documents.config,
             Kind::Listing => &mut documents.listing,
         };
-        let judged = acceptance.check(document.seen());
-        match &judged {
+        let checked = latest.check(document.seen());
+        match &checked {
             Ok(OfferOutcome::Accepted) => {}
-            Ok(OfferOutcome::Unchanged) => return judged,
+            Ok(OfferOutcome::Unchanged) => return checked,
             Err(err) => {
                 if err.code() == Code::OtherDigest {
                     self.event("config.conflict", &[("from", from)]);
                 }
-                return judged;
+                return checked;
             }
         }
         let mut view = View::clone(&self.view.load());
@@ -128,7 +128,7 @@
             }
         }
         let revision = document.revision();
-        acceptance.offer(document)?;
+        latest.offer(document)?;
         // Stored while the lock is held, so that views are replaced in the
         // order of their revisions.
         self.view.store(Arc::new(view));
--- a/crates/shell/src/node/peers.rs
+++ b/crates/shell/src/node/peers.rs
@@ -10,7 +10,7 @@
 
 /// A report and the time of its receipt.
 #[derive(Clone, Debug)]
-pub struct Heard {
+pub struct ReceivedReport {
     /// The received report.
     pub report: Report,
     /// The time of receipt by this process's monotonic clock.
@@ -20,7 +20,7 @@
 /// The newest report from each process, by instance name.
 #[derive(Debug, Default)]
 pub struct Peers {
-    map: HashMap<Arc<str>, Heard>,
+    map: HashMap<Arc<str>, ReceivedReport>,
 }
 
 impl Peers {
@@ -30,11 +30,12 @@
         if known.is_some_and(|k| k.report.incarnation > report.incarnation) {
             return;
         }
-        self.map.insert(Arc::clone(&report.name), Heard { report, at });
+        self.map
+            .insert(Arc::clone(&report.name), ReceivedReport { report, at });
     }
 
     /// Returns the newest report of an instance.
-    pub fn get(&self, name: &str) -> Option<&Heard> {
+    pub fn get(&self, name: &str) -> Option<&ReceivedReport> {
         self.map.get(name)
     }
 
@@ -44,12 +45,12 @@
     }
 
     /// Returns an iterator over all reports, in no particular order.
-    pub fn iter(&self) -> impl Iterator<Item = &Heard> {
+    pub fn iter(&self) -> impl Iterator<Item = &ReceivedReport> {
         self.map.values()
     }
 
     /// Removes the reports that were received before `since`.
     pub fn forget(&mut self, since: Time) {
-        self.map.retain(|_, heard| heard.at >= since);
+        self.map.retain(|_, received| received.at >= since);
     }
 }
--- a/crates/shell/src/node/poison.rs
+++ b/crates/shell/src/node/poison.rs
@@ -70,10 +70,10 @@
     /// Merges a peer's records, and returns records that it may lack.
     pub fn receive_poison(
         self: &Arc<Node>,
-        told: PoisonUpdate,
+        update: PoisonUpdate,
     ) -> PoisonUpdate {
         let now = self.now();
-        let news = self.learn_poison(told.records);
+        let news = self.merge_poison(update.records);
         if !news.is_empty() {
             let node = Arc::clone(self);
             self.detach(async move {
@@ -83,15 +83,15 @@
         }
         let mut table = self.poison();
         let digest = table.digest();
-        let about: Vec<Fingerprint> = told.about.into_iter().collect();
+        let about: Vec<Fingerprint> = update.about.into_iter().collect();
         let mut records = table.records(&about, now);
-        if digest != told.digest {
+        if digest != update.digest {
             records.extend(table.next_batch(PoisonMessage::MAX_RECORDS, now));
         }
         PoisonUpdate { digest, records, about: None }
     }
 
-    fn learn_poison(&self, records: Vec<PoisonRecord>) -> Vec<PoisonRecord> {
+    fn merge_poison(&self, records: Vec<PoisonRecord>) -> Vec<PoisonRecord> {
         let now = self.now();
         let news = {
             let mut table = self.poison();
@@ -122,10 +122,10 @@
 
     /// Sends records to a peer, and merges its answer. A peer that cannot be
     /// reached gets them with the next exchange of reports.
-    async fn exchange_poison(&self, addr: SocketAddr, told: PoisonUpdate) {
-        match self.wire().poison(addr, EXCHANGE_TIMEOUT, told).await {
+    async fn exchange_poison(&self, addr: SocketAddr, update: PoisonUpdate) {
+        match self.wire().poison(addr, EXCHANGE_TIMEOUT, update).await {
             Ok(theirs) => {
-                self.learn_poison(theirs.records);
+                self.merge_poison(theirs.records);
             }
             Err(err) => log::debug!("cannot exchange poison records: {err}"),
         }
@@ -182,15 +182,15 @@
     addrs: Vec<SocketAddr>,
     records: &[PoisonRecord],
 ) {
-    let told = addrs.into_iter().map(|addr| async move {
+    let exchanges = addrs.into_iter().map(|addr| async move {
         for part in records.chunks(PoisonMessage::MAX_RECORDS) {
             let digest = node.poison().digest();
-            let told =
+            let update =
                 PoisonUpdate { digest, records: part.to_vec(), about: None };
-            node.exchange_poison(addr, told).await;
+            node.exchange_poison(addr, update).await;
         }
     });
-    futures::future::join_all(told).await;
+    futures::future::join_all(exchanges).await;
 }
 
 /// Returns the seed that selects the peers to which records are sent.
--- a/crates/shell/src/node/state.rs
+++ b/crates/shell/src/node/state.rs
@@ -291,8 +291,8 @@
     /// each known peer.
     pub fn reports(&self) -> Vec<Report> {
         let mut reports = vec![self.report()];
-        for heard in self.peers().iter() {
-            reports.push(heard.report.clone());
+        for received in self.peers().iter() {
+            reports.push(received.report.clone());
         }
         reports
     }
