--- a/crates/shell/src/control/convert.rs
+++ b/crates/shell/src/control/convert.rs
@@ -1,4 +1,4 @@
-//! Between the schema's generated types and the project's own.
+//! Conversions between the generated schema types and the domain types.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use stairhinge::{Code, Digest, Ran};
 use stairhinge_schema::fleet_capnp as schema;
 
-use super::{News, PoisonTold, Pulled, Report};
+use super::{News, PoisonUpdate, Pulled, Report};
 
 type Read<T> = Result<T, capnp::Error>;
 
@@ -157,15 +157,15 @@
 }
 
 pub(super) fn put_poison(
-    told: &PoisonTold,
+    update: &PoisonUpdate,
     mut to: schema::poison::Builder<'_>,
 ) {
-    to.set_digest(told.digest);
-    if let Some(about) = told.about {
+    to.set_digest(update.digest);
+    if let Some(about) = update.about {
         to.set_about(about.to_string());
     }
-    let mut list = to.init_records(told.records.len() as u32);
-    for (i, record) in told.records.iter().enumerate() {
+    let mut list = to.init_records(update.records.len() as u32);
+    for (i, record) in update.records.iter().enumerate() {
         put_poison_record(record, list.reborrow().get(i as u32));
     }
 }
@@ -187,13 +187,13 @@
 
 pub(super) fn get_poison(
     from: schema::poison::Reader<'_>,
-) -> Read<PoisonTold> {
+) -> Read<PoisonUpdate> {
     let mut records = Vec::new();
     for record in from.get_records()? {
         records.push(get_poison_record(record)?);
     }
     let about = text(from.get_about())?.parse().ok();
-    Ok(PoisonTold { digest: from.get_digest(), records, about })
+    Ok(PoisonUpdate { digest: from.get_digest(), records, about })
 }
 
 fn get_poison_record(
