--- a/crates/shell/src/http.rs
+++ b/crates/shell/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP on both sides, by hyper, within limits from the settings.
+//! HTTP client and server on hyper, with configurable limits.
 
 mod body;
 mod client;
--- a/crates/shell/src/http/body.rs
+++ b/crates/shell/src/http/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests and answers.
+//! Request and response bodies, and how they are sent and read.
 
 use std::fmt;
 use std::time::Duration;
@@ -13,10 +13,10 @@
 
 use crate::Shaper;
 
-/// The body of an answer or of a request to another process.
+/// The body of a response, or of a request to another process.
 pub type Body = UnsyncBoxBody<Bytes, BodyError>;
 
-/// A body that broke off.
+/// The error of a body that ended before it was complete.
 #[derive(Debug)]
 pub struct BodyError(pub String);
 
@@ -28,18 +28,20 @@
 
 impl std::error::Error for BodyError {}
 
-/// Returns a body of some bytes.
+/// Returns a body that holds `bytes`.
 pub fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into()).map_err(|e| match e {}).boxed_unsync()
 }
 
-/// Returns a body without bytes.
+/// Returns an empty body.
 pub fn empty() -> Body {
     Empty::new().map_err(|e| match e {}).boxed_unsync()
 }
 
-/// Returns a body that is fed through a channel. An error ends the body
-/// without its proper end, so that the reader knows that it is not whole.
+/// Returns a body that is streamed from a channel.
+///
+/// An error aborts the body without its terminator, so that the reader can
+/// tell that it is incomplete.
 pub fn stream(rx: mpsc::Receiver<Result<Bytes, BodyError>>) -> Body {
     let items = futures::stream::unfold(rx, |mut rx| async {
         let item = rx.recv().await?;
@@ -48,16 +50,17 @@
     StreamBody::new(items.boxed()).boxed_unsync()
 }
 
-/// How much of a shaped body goes out at once.
-const FRAME: usize = 16 * 1024;
+/// The size in bytes of the frames that a shaped body is split into.
+const FRAME_BYTES: usize = 16 * 1024;
 
-/// Returns a body of some bytes that goes out over shaped links.
+/// Returns a body that sends `bytes` in frames, rate-limited by each of
+/// `links`.
 pub fn shaped(bytes: Bytes, links: Vec<Shaper>) -> Body {
     let (tx, rx) = mpsc::channel(1);
     tokio::spawn(async move {
         let mut rest = bytes;
         while !rest.is_empty() {
-            let piece = rest.split_to(rest.len().min(FRAME));
+            let piece = rest.split_to(rest.len().min(FRAME_BYTES));
             for link in &links {
                 link.take(piece.len() as u64).await;
             }
@@ -69,12 +72,13 @@
     stream(rx)
 }
 
-/// Returns a body of some bytes that goes out over a shaped link in one
-/// piece, after those that were asked for before it.
+/// Returns a body that sends `bytes` as one frame over a rate-limited link,
+/// after the bodies that were requested before it.
 ///
-/// Bodies that take turns by frames all end late. One after the other, the
-/// first can be passed on while the rest still wait. A body whose reader
-/// goes while it waits takes nothing of the link.
+/// Interleaving the frames of several bodies would delay the end of all of
+/// them. Sent in request order, the first body can be forwarded while the
+/// others still wait. A body whose reader disconnects during the wait uses no
+/// bandwidth.
 pub fn in_turn(bytes: Bytes, link: Shaper) -> Body {
     let piece = async move {
         link.take_in_turn(bytes.len() as u64).await;
@@ -83,12 +87,12 @@
     StreamBody::new(futures::stream::once(piece).boxed()).boxed_unsync()
 }
 
-/// Reads a body whole, within a size and a time.
+/// Reads a complete body of at most `most` bytes, within a time limit.
 ///
 /// # Errors
 ///
-/// [`Code::BodyTooLarge`], [`Code::SlowSender`], or [`Code::MalformedHttp`]
-/// if it breaks off.
+/// [`Code::BodyTooLarge`] above the size limit, [`Code::SlowSender`] after
+/// the time limit, or [`Code::MalformedHttp`] if the body is cut short.
 pub async fn read<B>(
     body: B,
     most: usize,
--- a/crates/shell/src/http/client.rs
+++ b/crates/shell/src/http/client.rs
@@ -1,4 +1,4 @@
-//! Calling other processes and outside systems over HTTP.
+//! An HTTP client for other processes and external systems.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -14,12 +14,12 @@
 
 use super::{Body, empty, read};
 
-/// Why a call brought no answer.
+/// Why a call got no response.
 #[derive(Debug)]
 pub enum CallError {
-    /// There was no connection: nothing was sent.
+    /// The connection could not be opened, so nothing was sent.
     Unsent(String),
-    /// It was sent, in whole or in part, and no answer came.
+    /// The request was sent, at least in part, but got no response.
     Silent(String),
 }
 
@@ -32,50 +32,51 @@
     }
 }
 
-/// A pool of connections; clones share it.
+/// An HTTP client with a connection pool, which its clones share.
 #[derive(Clone, Debug)]
 pub struct Client {
     pool: Pool<HttpConnector, Body>,
 }
 
 impl Client {
-    /// How long a connection may take to come up.
-    const CONNECT: Duration = Duration::from_secs(1);
+    /// The time limit for opening a connection.
+    const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-    /// How long an idle connection is kept.
-    const IDLE: Duration = Duration::from_secs(30);
+    /// How long an idle connection stays in the pool.
+    const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-    /// Returns an empty pool.
+    /// Returns a client that keeps idle connections for reuse.
     pub fn new() -> Client {
-        Client::keeping(usize::MAX)
+        Client::with_max_idle(usize::MAX)
     }
 
-    /// Returns a pool that ends each connection after its answer, for a
-    /// server that takes few connections from many callers: one that rests
-    /// would keep another caller out.
+    /// Returns a client that closes each connection after its response.
+    ///
+    /// For servers that accept few connections from many callers, where an
+    /// idle connection would block another caller.
     pub fn closing() -> Client {
-        Client::keeping(0)
+        Client::with_max_idle(0)
     }
 
-    fn keeping(most_idle: usize) -> Client {
+    fn with_max_idle(max_idle_per_host: usize) -> Client {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        connector.set_connect_timeout(Some(Client::CONNECT));
+        connector.set_connect_timeout(Some(Client::CONNECT_TIMEOUT));
         let pool = Pool::builder(TokioExecutor::new())
-            .pool_idle_timeout(Client::IDLE)
-            .pool_max_idle_per_host(most_idle)
-            // The pool must not send again by itself: whether a request may
-            // be repeated is not its to say.
+            .pool_idle_timeout(Client::IDLE_TIMEOUT)
+            .pool_max_idle_per_host(max_idle_per_host)
+            // The pool must not resend a request on its own: it cannot know
+            // whether the request may be repeated.
             .retry_canceled_requests(false)
             .build(connector);
         Client { pool }
     }
 
-    /// Sends a request to an address and waits for the answer's head.
+    /// Sends a request to an address and waits for the response head.
     ///
     /// # Errors
     ///
-    /// [`CallError`] says whether anything may have been sent.
+    /// A [`CallError`], which tells whether anything may have been sent.
     pub async fn send(
         &self,
         addr: SocketAddr,
@@ -98,18 +99,18 @@
             ))),
             Ok(Ok(response)) => Ok(response),
             Ok(Err(err)) if err.is_connect() => {
-                Err(CallError::Unsent(chain(&err)))
+                Err(CallError::Unsent(error_chain(&err)))
             }
-            Ok(Err(err)) => Err(CallError::Silent(chain(&err))),
+            Ok(Err(err)) => Err(CallError::Silent(error_chain(&err))),
         }
     }
 
-    /// Gets a path and reads the answer whole.
+    /// Sends a GET request and returns the status, headers and complete body.
     ///
     /// # Errors
     ///
-    /// [`Code::PeerLost`] if there is no answer, or not a whole one of at
-    /// most `most` bytes, in time.
+    /// [`Code::PeerLost`] without a complete response in time, or if its body
+    /// has more than `most` bytes.
     pub async fn get(
         &self,
         addr: SocketAddr,
@@ -136,7 +137,7 @@
     }
 }
 
-fn chain(err: &dyn std::error::Error) -> String {
+fn error_chain(err: &dyn std::error::Error) -> String {
     let mut out = err.to_string();
     let mut next = err.source();
     while let Some(cause) = next {
--- a/crates/shell/src/http/fail.rs
+++ b/crates/shell/src/http/fail.rs
@@ -1,4 +1,4 @@
-//! Answers, and failures with their numbered codes.
+//! JSON responses, and error responses with numbered codes.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 
 use super::{Body, full, headers};
 
-/// A final answer that says that a request failed.
+/// The final error response to a request.
 #[derive(Clone, Debug)]
 pub struct Failed {
     error: Error,
@@ -18,21 +18,23 @@
 }
 
 impl Failed {
-    /// Returns a failure under the error's code. What it says about having
-    /// run is the code's own, or "may have run" where that says nothing.
+    /// Returns the response to an error.
+    ///
+    /// Whether the request ran follows from the error's code; where the code
+    /// does not determine it, the response says "may have run".
     pub fn new(error: Error) -> Failed {
         let ran = error.code().ran().unwrap_or(Ran::MayHaveRun);
         Failed { error, ran, back: None }
     }
 
-    /// Returns it with what is known of the request having run.
+    /// Sets whether the request ran.
     #[must_use]
     pub fn with_ran(mut self, ran: Ran) -> Failed {
         self.ran = ran;
         self
     }
 
-    /// Returns it with when the caller may come back.
+    /// Sets the time after which the caller may retry (`Retry-After`).
     #[must_use]
     pub fn with_back(mut self, span: Duration) -> Failed {
         self.back = Some(span);
@@ -49,12 +51,12 @@
         self.ran
     }
 
-    /// Returns when the caller may come back, if it helps.
+    /// Returns the time after which the caller may retry, if one is set.
     pub fn back(&self) -> Option<Duration> {
         self.back
     }
 
-    /// Returns the JSON that tells a caller.
+    /// Returns the JSON body of the response.
     pub fn json(&self) -> String {
         json!({"error": {
             "code": self.error.code().number(),
@@ -65,7 +67,7 @@
         .to_string()
     }
 
-    /// Returns the answer to send.
+    /// Returns the HTTP response to send.
     pub fn response(&self) -> Response<Body> {
         let code = self.error.code();
         let status = StatusCode::from_u16(code.status())
@@ -75,8 +77,8 @@
         map.insert(headers::CODE, HeaderValue::from(code.number()));
         map.insert(headers::RAN, HeaderValue::from_static(self.ran.as_str()));
         if let Some(span) = self.back {
-            // The header counts whole seconds; rounding up never calls a
-            // caller back too early.
+            // `Retry-After` is in whole seconds. Rounding up avoids a retry
+            // before the time is over.
             let secs = span.as_millis().div_ceil(1000).max(1) as u64;
             map.insert(RETRY_AFTER, HeaderValue::from(secs));
         }
@@ -90,7 +92,7 @@
     }
 }
 
-/// Returns an answer of JSON.
+/// Returns a JSON response.
 pub fn answer(status: StatusCode, json: String) -> Response<Body> {
     let mut response = Response::new(full(json));
     *response.status_mut() = status;
--- a/crates/shell/src/http/server.rs
+++ b/crates/shell/src/http/server.rs
@@ -1,4 +1,4 @@
-//! Serving HTTP within limits, with a planned stop that cuts nothing.
+//! An HTTP server with limits and a graceful shutdown.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -18,34 +18,34 @@
 use crate::Shutdown;
 use crate::settings::Values;
 
-/// What a server does with a request.
+/// Handles the requests of a server.
 pub trait Handler: Send + Sync {
-    /// Answers one request; a failure is an answer too.
+    /// Returns the response to one request; errors are responses as well.
     fn handle(
         self: Arc<Self>,
         request: Request<Incoming>,
     ) -> BoxFuture<'static, Response<Body>>;
 }
 
-/// Limits on what callers may send, and how slowly.
+/// Limits on the size, duration and number of incoming requests.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// The largest head, in bytes.
+    /// The largest request head, in bytes.
     pub head: usize,
-    /// The largest body, in bytes.
+    /// The largest request body, in bytes.
     pub body: usize,
-    /// Within which a head must arrive.
+    /// The time limit for receiving a request head.
     pub head_time: Duration,
-    /// Within which a body must arrive.
+    /// The time limit for receiving a request body.
     pub body_time: Duration,
-    /// The most connections at a time.
+    /// The maximum number of open connections.
     pub connections: usize,
-    /// How long a stopping process still listens.
+    /// How long a process keeps listening after its shutdown began.
     pub linger: Duration,
 }
 
 impl Limits {
-    /// Returns the limits of a settings file.
+    /// Returns the limits that a settings file configures.
     pub fn of(values: &Values) -> Limits {
         Limits {
             head: values.number("head_kb") as usize * 1024,
@@ -58,8 +58,8 @@
     }
 }
 
-/// Serves until the process is to stop, then lingers, lets every request in
-/// progress finish, and returns.
+/// Serves until the shutdown begins and the linger time is over, waits for the
+/// requests in progress to finish, and returns.
 pub async fn serve(
     listener: TcpListener,
     limits: Limits,
@@ -67,8 +67,8 @@
     handler: Arc<dyn Handler>,
 ) {
     let tracker = TaskTracker::new();
-    let slots = Arc::new(Semaphore::new(limits.connections));
-    let (stopper, quiet) = Shutdown::new();
+    let permits = Arc::new(Semaphore::new(limits.connections));
+    let (stopper, drain) = Shutdown::new();
     let linger = async {
         shutdown.wait().await;
         tokio::time::sleep(limits.linger).await;
@@ -76,15 +76,15 @@
     tokio::pin!(linger);
     loop {
         let stream = tokio::select! {
-            accepted = accept(&listener, &slots) => accepted,
+            accepted = accept(&listener, &permits) => accepted,
             () = &mut linger => break,
         };
-        let Some((stream, slot)) = stream else { continue };
+        let Some((stream, permit)) = stream else { continue };
         let handler = Arc::clone(&handler);
-        let quiet = quiet.clone();
+        let drain = drain.clone();
         tracker.spawn(async move {
-            connection(stream, limits, quiet, handler).await;
-            drop(slot);
+            connection(stream, limits, drain, handler).await;
+            drop(permit);
         });
     }
     drop(listener);
@@ -93,17 +93,18 @@
     tracker.wait().await;
 }
 
-type Slot = tokio::sync::OwnedSemaphorePermit;
+type ConnectionPermit = tokio::sync::OwnedSemaphorePermit;
 
 async fn accept(
     listener: &TcpListener,
-    slots: &Arc<Semaphore>,
-) -> Option<(TcpStream, Slot)> {
-    let slot = Arc::clone(slots).acquire_owned().await.ok()?;
+    permits: &Arc<Semaphore>,
+) -> Option<(TcpStream, ConnectionPermit)> {
+    let permit = Arc::clone(permits).acquire_owned().await.ok()?;
     match listener.accept().await {
-        Ok((stream, _)) => Some((stream, slot)),
+        Ok((stream, _)) => Some((stream, permit)),
         Err(err) => {
-            // Out of descriptors, as a rule: give others time to end.
+            // Usually the file descriptors are exhausted: wait for other
+            // connections to close.
             log::warn!("accept: {err}");
             tokio::time::sleep(Duration::from_millis(50)).await;
             None
@@ -114,7 +115,7 @@
 async fn connection(
     stream: TcpStream,
     limits: Limits,
-    quiet: Shutdown,
+    drain: Shutdown,
     handler: Arc<dyn Handler>,
 ) {
     let _ = stream.set_nodelay(true);
@@ -130,12 +131,12 @@
     tokio::pin!(conn);
     let ended = tokio::select! {
         ended = &mut conn => ended,
-        () = quiet.wait() => {
+        () = drain.wait() => {
             conn.as_mut().graceful_shutdown();
             conn.await
         }
     };
-    // hyper has answered 400 or 431 by itself where the bytes were no HTTP.
+    // hyper itself has sent 400 or 431 if the input was not valid HTTP.
     if let Err(err) = ended {
         log::debug!("connection: {err}");
     }
--- a/crates/shell/src/lib.rs
+++ b/crates/shell/src/lib.rs
@@ -1,13 +1,13 @@
-//! The I/O around stairhinge's decisions, shared by all programs.
+//! The I/O layer that all stairhinge programs share.
 //!
 //! * [`settings`] reads and checks settings files.
 //! * [`http`] serves and calls HTTP within limits.
 //! * [`control`] carries calls between processes over Cap'n Proto RPC.
 //! * [`directory`] reads what a platform publishes.
-//! * [`decisions`] logs what was decided and why.
-//! * [`node`] keeps what one process knows: documents, peers, its own state.
+//! * [`decisions`] writes the log of decisions with their causes.
+//! * [`node`] holds the state of one process: documents, peers, its own state.
 //!
-//! Nothing here decides: what to do is asked of the `stairhinge` crate.
+//! This crate contains no decision logic: that is in the `stairhinge` crate.
 
 pub mod control;
 pub mod decisions;
