--- a/crates/shell/src/decisions.rs
+++ b/crates/shell/src/decisions.rs
@@ -1,9 +1,10 @@
-//! The log of decisions: one JSON line each, on standard output.
+//! The decision log: JSON lines on standard output.
 //!
-//! A line is written for each decision that touches a request or changes
-//! what the process believes. Lines go into a bounded buffer that a thread
-//! of its own writes out, so a reader that does not read never holds up a
-//! request; what did not fit is counted, and the count is logged.
+//! The log has a line for each decision that affects a request or changes the
+//! state that the process acts on. Lines go into a bounded buffer that a
+//! dedicated thread writes out, so that a log reader that has stalled never
+//! blocks a request. Lines that do not fit are counted, and their number is
+//! logged.
 
 mod decision;
 
@@ -30,44 +31,49 @@
     dropped: u64,
 }
 
-/// Writes decisions; clones share one buffer.
+/// A buffered log of decisions; clones share one buffer.
 #[derive(Clone, Debug)]
 pub struct DecisionLog {
     buffer: Arc<Mutex<Buffer>>,
     start: Instant,
-    most: usize,
+    max_bytes: usize,
 }
 
-/// How often the buffer is written out.
-const FLUSH: Duration = Duration::from_millis(250);
+/// The time between two writes of the buffer to standard output.
+const FLUSH_INTERVAL: Duration = Duration::from_millis(250);
 
 impl DecisionLog {
-    /// The usual bound on the buffer, in bytes.
+    /// The default limit of the buffer, in bytes.
     pub const MOST_BYTES: usize = 256 * 1024;
 
-    /// Returns a log whose buffer holds at most `most` bytes. Nothing is
-    /// written out until [`DecisionLog::spawn_writer`] is called.
-    pub fn new(most: usize) -> DecisionLog {
-        DecisionLog { buffer: Arc::default(), start: Instant::now(), most }
+    /// Returns a log that drops lines once its buffer holds `max_bytes`.
+    ///
+    /// Nothing is written out until [`DecisionLog::spawn_writer`] is called.
+    pub fn new(max_bytes: usize) -> DecisionLog {
+        DecisionLog {
+            buffer: Arc::default(),
+            start: Instant::now(),
+            max_bytes,
+        }
     }
 
-    /// Starts the thread that writes the buffer to standard output.
+    /// Starts a thread that writes the buffer to standard output regularly.
     pub fn spawn_writer(&self) {
         let log = self.clone();
         std::thread::spawn(move || {
             loop {
-                std::thread::sleep(FLUSH);
+                std::thread::sleep(FLUSH_INTERVAL);
                 log.flush();
             }
         });
     }
 
-    /// Adds a line, or counts it as dropped where the buffer is full.
+    /// Adds a line, or counts it as dropped if the buffer is full.
     pub fn write(&self, decision: &Decision<'_>) {
         let ms = self.start.elapsed().as_millis() as u64;
         let line = Line { wall: wall(), ms, decision };
         let mut buffer = self.lock();
-        if buffer.bytes.len() >= self.most {
+        if buffer.bytes.len() >= self.max_bytes {
             buffer.dropped += 1;
             return;
         }
@@ -76,7 +82,7 @@
         }
     }
 
-    /// Takes all lines out of the buffer.
+    /// Removes all lines from the buffer and returns them.
     pub fn take(&self) -> Vec<u8> {
         let dropped = std::mem::take(&mut self.lock().dropped);
         if dropped > 0 {
@@ -95,7 +101,7 @@
             return;
         }
         let mut out = std::io::stdout().lock();
-        // Nobody may read the logs; that must not stop the process.
+        // The reader of the log may be gone, which must not end the process.
         let _ = out.write_all(&bytes);
         let _ = out.flush();
     }
--- a/crates/shell/src/decisions/decision.rs
+++ b/crates/shell/src/decisions/decision.rs
@@ -1,184 +1,184 @@
-//! What is logged, with the fields of each line.
+//! The events of the decision log and their fields.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 use serde::Serialize;
 
-/// A decision, with what decided it.
+/// A logged decision, with the values that it is based on.
 #[derive(Debug, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Decision<'a> {
     /// The process started.
     Start {
-        /// Its role.
+        /// The role of the process.
         role: &'static str,
-        /// Its instance.
+        /// The instance that it runs as.
         instance: &'a str,
-        /// Its data hall.
+        /// The data hall of the instance.
         hall: &'a str,
-        /// The engine that it serves, of an agent.
+        /// The address of the engine, if the process is an agent.
         #[serde(skip_serializing_if = "Option::is_none")]
         engine: Option<SocketAddr>,
     },
-    /// The process was told to stop.
+    /// The process received a request to stop.
     Stop {
-        /// How long it may take, in milliseconds.
+        /// The time that it has for stopping, in milliseconds.
         grace_ms: u64,
     },
-    /// The settings have changed and were read again.
+    /// Changed settings were reloaded.
     Reload {
-        /// The changed ones that are in force from now on.
+        /// The changed settings that apply from now on.
         taken: &'a [String],
-        /// The changed ones that are in force from the next start on.
+        /// The changed settings that apply from the next start on.
         at_restart: &'a [String],
     },
-    /// The settings have changed and cannot be used: the old ones stay.
+    /// Changed settings were invalid, so the old ones stay in force.
     ReloadRefused {
         /// The numbered code.
         code: u16,
-        /// What is wrong with them.
+        /// Why they are invalid.
         reason: &'a str,
     },
-    /// A dependency stopped answering.
+    /// A dependency stopped responding.
     DependencyLost {
-        /// Its name.
+        /// The name of the dependency.
         dependency: &'a str,
         /// The numbered code.
         code: u16,
-        /// What the call brought.
+        /// The error of the failed call.
         reason: &'a str,
     },
-    /// A dependency answers again.
+    /// A dependency responds again.
     DependencyRegained {
-        /// Its name.
+        /// The name of the dependency.
         dependency: &'a str,
-        /// How long it did not answer, in milliseconds.
+        /// How long it did not respond, in milliseconds.
         lost_ms: u64,
     },
     /// A call to the platform has ended.
     PlatformCalled {
-        /// What was read.
+        /// The collection that was read.
         collection: &'static str,
         /// Whether it was listed or watched.
         way: &'static str,
-        /// How long it took, in milliseconds; of a watch, with its wait.
+        /// The duration in milliseconds, which includes the wait of a watch.
         took_ms: u64,
         /// The numbered code, if it failed.
         #[serde(skip_serializing_if = "Option::is_none")]
         code: Option<u16>,
     },
-    /// Newer routes are in force.
+    /// Newer routes came into force.
     RoutesTaken {
-        /// Their revision.
+        /// The revision of the routes.
         revision: u64,
-        /// By what way they came.
+        /// The kind of source that they came from.
         source: &'static str,
-        /// The entry that told them, if one did.
+        /// The entry that sent them, if they came from one.
         #[serde(skip_serializing_if = "Option::is_none")]
         from: Option<SocketAddr>,
-        /// How long the call took that brought them, in milliseconds; of a
-        /// watch, with its wait.
+        /// The duration of the call that returned them, in milliseconds, which
+        /// includes the wait of a watch.
         #[serde(skip_serializing_if = "Option::is_none")]
         took_ms: Option<u64>,
-        /// Whole documents of routes in the same answer of the platform.
+        /// The number of complete route documents in the platform's response.
         #[serde(skip_serializing_if = "Option::is_none")]
         documents: Option<usize>,
     },
-    /// A newer version of a model is wanted.
+    /// The target version of a model was raised.
     TargetTaken {
         /// The model.
         model: &'a str,
         /// The version.
         version: u64,
-        /// Who told it.
+        /// The source of the target.
         source: &'static str,
     },
-    /// Operators have evacuated a data hall: its replicas get no requests.
+    /// An operator evacuated a data hall, so its replicas get no requests.
     HallEvacuated {
         /// The hall.
         hall: &'a str,
-        /// Who told it.
+        /// The source of the information.
         source: &'static str,
-        /// How long ago it was ordered at most, in milliseconds; absent where
-        /// that is not known.
+        /// An upper bound on the time since the order, in milliseconds; absent
+        /// if it is unknown.
         #[serde(skip_serializing_if = "Option::is_none")]
         age_ms: Option<u64>,
     },
-    /// The evacuation of a data hall was taken back.
+    /// The evacuation of a data hall was cancelled.
     HallRestored {
         /// The hall.
         hall: &'a str,
-        /// Who told it.
+        /// The source of the information.
         source: &'static str,
     },
-    /// A replica is cold: it bears few requests for a while.
+    /// A replica is cold and handles only few requests for some time.
     ReplicaCold {
-        /// Its incarnation.
+        /// The incarnation of the replica.
         replica: &'a str,
-        /// For how long, in milliseconds.
+        /// The remaining time as cold, in milliseconds.
         for_ms: u64,
-        /// The requests that this entry may send it in a second.
+        /// The requests per second that this entry may send it.
         share: usize,
     },
     /// A replica set or changed its rate limit.
     ReplicaLimited {
-        /// Its incarnation.
+        /// The incarnation of the replica.
         replica: &'a str,
-        /// The limit for all entries together, in requests per second.
+        /// The limit of all entries in total, in requests per second.
         per_s: f64,
     },
-    /// A replica withdrew its rate limit.
+    /// A replica removed its rate limit.
     ReplicaUnlimited {
-        /// Its incarnation.
+        /// The incarnation of the replica.
         replica: &'a str,
-        /// How long it had a limit, in milliseconds.
+        /// How long the limit was in force, in milliseconds.
         after_ms: u64,
     },
-    /// A replica announced that it is leaving, or withdrew that.
+    /// A replica announced that it is leaving, or withdrew the announcement.
     ReplicaLeaving {
-        /// Its incarnation.
+        /// The incarnation of the replica.
         replica: &'a str,
         /// Whether it is leaving.
         leaving: bool,
     },
     /// A replica asked this entry to send it no requests for some time.
     ReplicaResting {
-        /// Its incarnation.
+        /// The incarnation of the replica.
         replica: &'a str,
-        /// For how long, in milliseconds.
+        /// The duration in milliseconds.
         for_ms: u64,
     },
-    /// A published record was not taken.
+    /// A published record was rejected.
     RecordRefused {
         /// The numbered code.
         code: u16,
-        /// What is wrong with it.
+        /// Why it was rejected.
         reason: &'a str,
     },
-    /// A replica came to the list, or its entry changed.
+    /// A replica was added to the list, or its record changed.
     ReplicaListed {
-        /// Its incarnation.
+        /// The incarnation of the replica.
         replica: &'a str,
-        /// Its address.
+        /// The address of the replica.
         addr: SocketAddr,
         /// Whether it is leaving.
         draining: bool,
     },
-    /// A replica went from the list.
+    /// A replica was removed from the list.
     ReplicaUnlisted {
-        /// Its incarnation.
+        /// The incarnation of the replica.
         replica: &'a str,
-        /// Whether the platform was well enough to believe it.
+        /// Whether the platform was healthy enough to trust the removal.
         reliable: bool,
     },
-    /// A replica is left out for a while after failures.
+    /// A replica is excluded for some time after consecutive failures.
     ReplicaSuspect {
-        /// Its incarnation.
+        /// The incarnation of the replica.
         replica: &'a str,
-        /// Failures in a row.
+        /// The number of consecutive failures.
         failures: u32,
-        /// For how long, in milliseconds.
+        /// The duration in milliseconds.
         for_ms: u64,
     },
     /// A request was sent to a replica.
@@ -187,186 +187,189 @@
         request: &'a str,
         /// The replica's incarnation.
         replica: &'a str,
-        /// Counted from 1.
+        /// The number of the attempt, from 1.
         attempt: u32,
-        /// Requests known at the replica.
+        /// The number of requests known to be at the replica.
         load: u32,
-        /// How much longer than usual the way there takes, in milliseconds.
+        /// The network delay to the replica beyond the usual one, in
+        /// milliseconds.
         delay_ms: u64,
         /// The age of the replica's report, in milliseconds.
         report_age_ms: Option<u64>,
-        /// The entry that chose the replica, if it was another one.
+        /// The entry that chose the replica, if another one did.
         #[serde(skip_serializing_if = "Option::is_none")]
         placer: Option<SocketAddr>,
-        /// Why the entry chose by itself, if it did.
+        /// Why this entry chose the replica itself, if it did.
         #[serde(skip_serializing_if = "Option::is_none")]
         own_choice: Option<&'static str>,
-        /// The replica's rate limit in requests per second, if the chooser
-        /// knew of one.
+        /// The replica's rate limit in requests per second, if the choosing
+        /// entry knew of one.
         #[serde(skip_serializing_if = "Option::is_none")]
         limit_per_s: Option<f64>,
-        /// The revision of the routes that decided.
+        /// The revision of the routes that applied.
         revision: u64,
-        /// The version asked for, if any.
+        /// The requested model version, if any.
         version: Option<u64>,
-        /// What is left of the request's time, in milliseconds.
+        /// The time left until the request's deadline, in milliseconds.
         left_ms: u64,
-        /// How long the request waited here, in milliseconds.
+        /// How long the request waited at this entry, in milliseconds.
         waited_ms: u64,
     },
-    /// A request found no replica.
+    /// No replica was available for a request.
     NoReplica {
         /// The request's id.
         request: &'a str,
         /// The service.
         service: &'a str,
-        /// Replicas listed of it.
+        /// Listed replicas of the service.
         listed: usize,
-        /// Those that could take it if they had room.
+        /// Replicas that could serve the request if they had capacity.
         suitable: usize,
-        /// Those in a region where it may not be served.
+        /// Replicas in regions where the request may not be served.
         barred: usize,
-        /// Those of the others in a hall that is evacuated.
+        /// Other replicas in an evacuated data hall.
         evacuated: usize,
-        /// Those of the others that are leaving.
+        /// Other replicas that are leaving.
         leaving: usize,
-        /// Those of the others whose `Retry-After` has not expired.
+        /// Other replicas whose `Retry-After` has not expired.
         resting: usize,
-        /// Suitable replicas that have set a rate limit.
+        /// Suitable replicas with a rate limit.
         limited: usize,
-        /// How long it waited, in milliseconds.
+        /// How long the request waited, in milliseconds.
         waited_ms: u64,
-        /// The revision of the routes that decided.
+        /// The revision of the routes that applied.
         revision: u64,
     },
-    /// An attempt did not bring the whole answer.
+    /// An attempt did not return a complete response.
     AttemptFailed {
         /// The request's id.
         request: &'a str,
-        /// Names what it asks: the same for all tries of a request.
+        /// The fingerprint of the content, equal for all of a request's
+        /// attempts.
         fingerprint: &'a str,
         /// The replica's incarnation.
         replica: &'a str,
-        /// What came back.
+        /// Why the attempt failed.
         reason: &'a str,
-        /// How long after it was sent, in milliseconds.
+        /// The time since the request was sent, in milliseconds.
         after_ms: u64,
-        /// Whether the replica's process has ended, where the connection
-        /// did.
+        /// Whether the replica's process has ended, if the connection was
+        /// closed.
         #[serde(skip_serializing_if = "Option::is_none")]
         replica_ended: Option<bool>,
-        /// What follows.
+        /// The action that follows.
         next: &'static str,
     },
-    /// A replica ended under a request.
+    /// A replica's process ended while it ran a request.
     PoisonSuspected {
         /// The request's id.
         request: &'a str,
-        /// Names what it asks.
+        /// The fingerprint of the request's content.
         fingerprint: &'a str,
         /// The replica's incarnation.
         replica: &'a str,
-        /// Replicas that ended under it, one after the other.
+        /// The number of consecutive replicas that ended while they ran it.
         ended: u8,
-        /// How often a whole answer has cleared it before.
+        /// How often a complete response had cleared the request before.
         cleared: u32,
-        /// Whether it is kept from replicas from now on.
+        /// Whether the request is quarantined from now on.
         quarantined: bool,
     },
-    /// A request was refused, since it ends the replicas that it runs on.
+    /// A request was refused because it crashes the replicas that run it.
     PoisonRefused {
         /// The request's id.
         request: &'a str,
-        /// Names what it asks.
+        /// The fingerprint of the request's content.
         fingerprint: &'a str,
-        /// The replicas that ended under it.
+        /// The replicas that ended while they ran it.
         replicas: &'a [Arc<str>],
-        /// How long that has been known here, in milliseconds.
+        /// How long this entry has known that, in milliseconds.
         age_ms: u64,
-        /// When it may be sent again, in milliseconds.
+        /// The time until it may be sent again, in milliseconds.
         back_ms: u64,
     },
-    /// A request that was kept from replicas is tried again.
+    /// A quarantined request is tried again.
     PoisonTried {
         /// The request's id.
         request: &'a str,
-        /// Names what it asks.
+        /// The fingerprint of the request's content.
         fingerprint: &'a str,
-        /// Counted from 1.
+        /// The number of the trial, from 1.
         trial: u8,
     },
-    /// A request under which replicas ended has had its whole answer.
+    /// A request during which replicas had ended got a complete response.
     PoisonCleared {
         /// The request's id.
         request: &'a str,
-        /// Names what it asks.
+        /// The fingerprint of the request's content.
         fingerprint: &'a str,
-        /// Replicas that had ended under it, one after the other.
+        /// The number of consecutive replicas that had ended while running it.
         ended: u8,
     },
-    /// Another entry told of a request under which replicas ended.
+    /// Another entry reported a request during which replicas ended.
     PoisonLearned {
-        /// Names what it asks.
+        /// The fingerprint of the request's content.
         fingerprint: &'a str,
-        /// The entry.
+        /// The entry that reported it.
         from: SocketAddr,
-        /// Replicas that ended under it, one after the other.
+        /// The number of consecutive replicas that ended while they ran it.
         ended: u8,
-        /// How often a whole answer has cleared it.
+        /// How often a complete response has cleared it.
         cleared: u32,
-        /// How often it was tried again.
+        /// How often it was tried again while quarantined.
         trials: u8,
-        /// How long ago that changed, in milliseconds.
+        /// The time since the last change of the record, in milliseconds.
         age_ms: u64,
-        /// The replicas.
+        /// The replicas that ended while they ran it.
         replicas: &'a [Arc<str>],
     },
-    /// A stream was taken up at another replica.
+    /// A stream was resumed at another replica.
     Resumed {
         /// The request's id.
         request: &'a str,
-        /// The replica that goes on.
+        /// The incarnation of the replica that continues it.
         replica: &'a str,
-        /// The last event that the caller has.
+        /// The last event that the caller has received.
         after_event: Option<u64>,
     },
-    /// A request got its final answer.
+    /// A request got its final response.
     Ended {
         /// The request's id.
         request: &'a str,
         /// The HTTP status.
         status: u16,
-        /// The numbered code, 0 for a replica's own answer.
+        /// The numbered code; 0 for a response from a replica.
         code: u16,
-        /// Why, where the answer is the system's own.
+        /// The cause, if the response does not come from a replica.
         reason: &'a str,
-        /// Since the request's head arrived, in milliseconds.
+        /// The time since the request's head arrived, in milliseconds.
         took_ms: u64,
-        /// Until the first event of a stream was passed on, in milliseconds.
+        /// The time until the first event of a stream was forwarded, in
+        /// milliseconds.
         #[serde(skip_serializing_if = "Option::is_none")]
         first_ms: Option<u64>,
-        /// The longest pause between two of its events, in milliseconds.
+        /// The longest pause between two stream events, in milliseconds.
         #[serde(skip_serializing_if = "Option::is_none")]
         pause_ms: Option<u64>,
-        /// How long ago all published routes were known, in milliseconds,
-        /// where the routes decided that it is refused.
+        /// The time since all published routes were last known, in
+        /// milliseconds, if the request was refused because of the routes.
         #[serde(skip_serializing_if = "Option::is_none")]
         routes_age_ms: Option<u64>,
     },
-    /// The caller went before the end.
+    /// The caller disconnected before the response ended.
     Cancelled {
         /// The request's id.
         request: &'a str,
-        /// Since the request's head arrived, in milliseconds.
+        /// The time since the request's head arrived, in milliseconds.
         took_ms: u64,
     },
-    /// A chunk was refused or a source left.
+    /// A chunk was rejected, or a source of chunks is no longer used.
     SourceFailed {
         /// The source.
         source: &'a str,
         /// The numbered code.
         code: u16,
-        /// What came back.
+        /// Why the source failed.
         reason: &'a str,
     },
     /// A fetch of weights began.
@@ -375,27 +378,27 @@
         model: &'a str,
         /// The version.
         version: u64,
-        /// Chunks that are here already.
+        /// The number of chunks that are already held.
         held: usize,
-        /// Chunks of the version.
+        /// The number of chunks of the version.
         chunks: usize,
     },
-    /// How a fetch stands.
+    /// The progress of a fetch of weights.
     FetchProgress {
-        /// Chunks that are here, per mille.
+        /// The share of chunks that are held, per mille.
         share: u32,
-        /// The first of those that are not.
+        /// The indices of the first missing chunks.
         missing: Vec<usize>,
-        /// The part of the link that questions for chunks may fill.
+        /// The fraction of the link that chunk requests may use.
         link_part: f64,
-        /// The part of the link that chunks sent to peers may take.
+        /// The fraction of the link that chunks sent to peers may use.
         uplink_part: f64,
-        /// The sources that are asked now.
+        /// The sources with requests in progress.
         asked: Vec<&'a str>,
-        /// The sources left for a while.
+        /// The sources that are not used for some time after failures.
         suspects: Vec<&'a str>,
     },
-    /// All chunks of a version are here.
+    /// All chunks of a version have been fetched.
     FetchDone {
         /// The model.
         model: &'a str,
@@ -403,11 +406,11 @@
         version: u64,
         /// How long it took, in milliseconds.
         took_ms: u64,
-        /// Chunks from the own hall, other halls and the origin.
+        /// The number of chunks from the local data hall.
         near: u32,
-        /// See `near`.
+        /// The number of chunks from other data halls.
         far: u32,
-        /// See `near`.
+        /// The number of chunks from the origin.
         origin: u32,
     },
     /// The engine was ordered to load.
@@ -416,24 +419,24 @@
         model: &'a str,
         /// The version.
         version: u64,
-        /// The first layer and the one after the last, where not all were
-        /// ordered.
+        /// The first layer and the one after the last, if the order was for
+        /// only some of the layers.
         layers: Option<(u32, u32)>,
-        /// The turn of this replica.
+        /// The position of this replica in the loading order.
         turn: usize,
-        /// What the engine said.
+        /// The engine's response.
         outcome: &'a str,
     },
-    /// The engine serves a version.
+    /// The engine started to serve a version.
     Serving {
         /// The model.
         model: &'a str,
         /// The version.
         version: u64,
     },
-    /// Lines that did not fit into the buffer.
+    /// Log lines were dropped because the buffer was full.
     Dropped {
-        /// How many.
+        /// The number of dropped lines.
         lines: u64,
     },
 }
