--- a/crates/shell/src/live_settings.rs
+++ b/crates/shell/src/live_settings.rs
@@ -1,4 +1,4 @@
-//! Settings that may change while a process runs.
+//! Settings that are reloaded while a process runs.
 
 use std::sync::Arc;
 
@@ -10,17 +10,17 @@
 use crate::SettingsWatch;
 use crate::decisions::{Decision, DecisionLog};
 
-/// Settings of one kind of process.
+/// The settings of a program.
 pub trait Settings: Clone + Serialize + Send + Sync + 'static {
-    /// Reads settings from YAML.
+    /// Parses settings from YAML.
     ///
     /// # Errors
     ///
-    /// [`Code::BadSettings`] with the line and the range.
+    /// [`Code::BadSettings`] with the line and the allowed range.
     fn parse(text: &str) -> Result<Self, Error>;
 
-    /// Returns these settings with what may change while a process runs
-    /// taken from `next`.
+    /// Returns these settings with the fields that can be reloaded taken from
+    /// `next`.
     #[must_use]
     fn with_live(&self, next: &Self) -> Self;
 }
@@ -30,7 +30,7 @@
 pub struct LiveSettings<T>(Arc<ArcSwap<T>>);
 
 impl<T: Settings> LiveSettings<T> {
-    /// Returns the settings of a process that starts.
+    /// Returns the settings that a process starts with.
     pub fn new(settings: T) -> LiveSettings<T> {
         LiveSettings(Arc::new(ArcSwap::from_pointee(settings)))
     }
@@ -40,11 +40,11 @@
         self.0.load_full()
     }
 
-    /// Takes changed settings until the process ends.
+    /// Reloads changed settings until the process ends.
     pub async fn follow(self, mut watch: SettingsWatch, log: DecisionLog) {
         loop {
             let changed = watch.changed().await;
-            let taken = changed.and_then(|text| self.take(&text, &log));
+            let taken = changed.and_then(|text| self.reload(&text, &log));
             let Err(error) = taken else { continue };
             log.write(&Decision::ReloadRefused {
                 code: error.code().number(),
@@ -53,7 +53,7 @@
         }
     }
 
-    fn take(&self, text: &str, log: &DecisionLog) -> Result<(), Error> {
+    fn reload(&self, text: &str, log: &DecisionLog) -> Result<(), Error> {
         let next = T::parse(text)?;
         let old = self.get();
         let live = old.with_live(&next);
@@ -68,7 +68,7 @@
     }
 }
 
-/// Returns the names of the fields in which two settings differ.
+/// Returns the names of the fields in which `new` differs from `old`.
 fn changed_fields<T: Serialize>(
     old: &T,
     new: &T,
--- a/crates/shell/src/logs.rs
+++ b/crates/shell/src/logs.rs
@@ -1,20 +1,21 @@
-//! Logs as JSON lines on standard error.
+//! Logging as JSON lines on standard error.
 //!
-//! Instances have no disks, so the platform collects what a process writes.
-//! Events of the time line are JSON already (log target `event`) and pass as
-//! they are; all else is wrapped.
+//! Instances have no disks, so the platform collects the output of a process.
+//! Timeline events (log target `event`) already are JSON and are written
+//! unchanged; all other messages are wrapped in a JSON object.
 
 use log::LevelFilter;
 use serde_json::json;
 
 use crate::node::wall;
 
-/// The log target of events of the time line.
+/// The log target of timeline events.
 pub(crate) const EVENT: &str = "event";
 
 /// Starts logging at a level: off, error, warn, info, debug or trace.
 ///
-/// A second start in one process is left without effect.
+/// Further calls in the same process have no effect. An unknown level is
+/// taken as info.
 pub fn start(level: &str) {
     let level = level.parse().unwrap_or(LevelFilter::Info);
     let logger = fern::Dispatch::new()
@@ -38,7 +39,7 @@
     let _ = logger.apply();
 }
 
-/// Turns an error of the project into one for a program's `main`.
+/// Converts an error into a report that a program's `main` can return.
 pub fn to_report(err: stairhinge::Error) -> eyre::Report {
     eyre::eyre!("{err}")
 }
--- a/crates/shell/src/metrics.rs
+++ b/crates/shell/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of one process, by prometheus-client.
+//! Prometheus metrics of a process.
 
 use std::sync::atomic::AtomicU64;
 
@@ -9,19 +9,19 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::{Registry, Unit};
 
-/// The label of a numbered result code; 0 is success.
+/// The label for a numbered result code; 0 is success.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub struct CodeLabel {
     code: u16,
 }
 
-/// The label of where bytes came from.
+/// The label for the source of chunk bytes.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub struct SourceLabel {
     source: &'static str,
 }
 
-/// The metrics that each process has; a role leaves unused those of others.
+/// The metrics of a process; those that do not apply to its role stay at 0.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
@@ -31,21 +31,21 @@
     queued: Gauge,
     retries: Counter,
     pulled: Family<SourceLabel, Counter>,
-    /// Chunk bytes sent to peers.
+    /// The chunk bytes sent to peers.
     pub sent: Counter,
     corrupt: Family<SourceLabel, Counter>,
     /// The revision of the declaration in force.
     pub revision: Gauge<i64>,
-    /// Chunks held of the version wanted, per mille.
+    /// The share of held chunks of the target version, per mille.
     pub share: Gauge<i64>,
-    /// Calls to the platform's service.
+    /// The number of calls to the platform's service.
     pub platform: Counter,
-    /// Bytes of control calls, both directions.
+    /// The bytes of control calls, in both directions.
     pub control: Counter<u64, AtomicU64>,
 }
 
 impl Metrics {
-    /// Returns a process's metrics, all at zero.
+    /// Registers all metrics, with values of zero.
     pub fn new() -> Metrics {
         let metrics = Metrics {
             registry: Registry::with_prefix("stairhinge"),
@@ -122,18 +122,19 @@
         self
     }
 
-    /// Counts a final answer: its code (0 is success) and its seconds.
+    /// Records a final response with its code (0 is success) and its duration
+    /// in seconds.
     pub fn answered(&self, code: u16, seconds: f64) {
         self.answers.get_or_create(&CodeLabel { code }).inc();
         self.latency.observe(seconds);
     }
 
-    /// Returns how many final answers had a code.
+    /// Returns the number of final responses with a code.
     pub fn answers(&self, code: u16) -> u64 {
         self.answers.get_or_create(&CodeLabel { code }).get()
     }
 
-    /// Sets the requests running and queued.
+    /// Sets the numbers of running and queued requests.
     pub fn load(&self, running: usize, queued: usize) {
         self.running.set(running as i64);
         self.queued.set(queued as i64);
@@ -144,17 +145,17 @@
         self.retries.inc();
     }
 
-    /// Counts verified chunk bytes from `near`, `far` or `origin`.
+    /// Counts verified chunk bytes from a source: `near`, `far` or `origin`.
     pub fn received(&self, source: &'static str, bytes: u64) {
         self.pulled.get_or_create(&SourceLabel { source }).inc_by(bytes);
     }
 
-    /// Counts a chunk that did not have the declared digest.
+    /// Counts a chunk whose digest was not the declared one.
     pub fn spoiled(&self, source: &'static str) {
         self.corrupt.get_or_create(&SourceLabel { source }).inc();
     }
 
-    /// Returns the text that `/metrics` answers.
+    /// Returns the metrics in the text format, as served at `/metrics`.
     pub fn text(&self) -> String {
         let mut out = String::new();
         // Writing to a string does not fail.
--- a/crates/shell/src/packed.rs
+++ b/crates/shell/src/packed.rs
@@ -1,7 +1,8 @@
-//! Documents packed for their way between processes.
+//! Gzip compression of documents sent between processes.
 //!
-//! A document of many like records packs to a tenth, and the one process
-//! that reads for others sends it to all of them over one link.
+//! A document of many similar records compresses to a tenth of its size. This
+//! matters because the process that reads it on behalf of others sends it to
+//! all of them over a single link.
 
 use std::io::{Read as _, Write as _};
 
@@ -11,7 +12,7 @@
 use flate2::write::GzEncoder;
 use stairhinge::{Code, Error};
 
-/// Packs bytes.
+/// Compresses bytes.
 pub fn pack(bytes: &[u8]) -> Bytes {
     let mut encoder = GzEncoder::new(Vec::new(), Compression::fast());
     // Writing into memory does not fail.
@@ -20,11 +21,12 @@
     Bytes::from(packed.unwrap_or_default())
 }
 
-/// Unpacks bytes, `most` of them at the most.
+/// Decompresses bytes, up to a size of `most` bytes.
 ///
 /// # Errors
 ///
-/// [`Code::OtherDigest`] if they are not packed whole, or are more.
+/// [`Code::OtherDigest`] if the input is not a complete gzip stream, or holds
+/// more than `most` bytes.
 pub fn unpack(packed: &[u8], most: usize) -> Result<Bytes, Error> {
     let wrong = |why: String| Error::new(Code::OtherDigest, why);
     let mut bytes = Vec::new();
--- a/crates/shell/src/rate.rs
+++ b/crates/shell/src/rate.rs
@@ -1,4 +1,4 @@
-//! A shaped link.
+//! Rate limiting of the traffic on a link.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
@@ -6,7 +6,7 @@
 use stairhinge::Time;
 use stairhinge::weights::TokenBucket;
 
-/// Shapes what goes over one link; clones share it.
+/// A rate limiter for the traffic on one link, shared by its clones.
 #[derive(Clone, Debug)]
 pub struct Shaper {
     start: Instant,
@@ -15,31 +15,32 @@
 }
 
 impl Shaper {
-    /// The span whose bytes may go at once.
+    /// The largest burst, as a time at the full rate.
     const BURST_MS: u64 = 20;
 
-    /// The least burst: a few frames.
-    const LEAST_BURST: u64 = 16 * 1024;
+    /// The lower bound of the burst, a few network frames.
+    const MIN_BURST_BYTES: u64 = 16 * 1024;
 
-    /// Returns a shaper to `rate` bytes a second; 0 does not shape.
+    /// Returns a limiter to `rate` bytes per second; 0 means no limit.
     pub fn new(rate: u64) -> Shaper {
-        let burst = (rate * Shaper::BURST_MS / 1000).max(Shaper::LEAST_BURST);
+        let burst =
+            (rate * Shaper::BURST_MS / 1000).max(Shaper::MIN_BURST_BYTES);
         let bucket = Arc::new(Mutex::new(TokenBucket::new(rate, burst)));
         Shaper { start: Instant::now(), bucket, turn: Arc::default() }
     }
 
-    /// Shapes to another rate from now on.
+    /// Changes the rate in bytes per second, where 0 means no limit.
     pub fn set_rate(&self, rate: u64) {
         self.lock().set_rate(rate);
     }
 
     fn lock(&self) -> MutexGuard<'_, TokenBucket> {
-        // A bucket is a few numbers; there is no broken state.
+        // The bucket holds a few numbers, which are valid after any panic.
         self.bucket.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits until `bytes` may be sent and all who came before have sent
-    /// theirs. Who gives up while it waits takes nothing.
+    /// Waits until `bytes` may be sent, after all earlier calls of this
+    /// method. A call that is dropped before its turn uses no bandwidth.
     pub async fn take_in_turn(&self, bytes: u64) {
         let _turn = self.turn.lock().await;
         self.take(bytes).await;
--- a/crates/shell/src/read_settings.rs
+++ b/crates/shell/src/read_settings.rs
@@ -1,15 +1,15 @@
-//! Reading a settings file into a type.
+//! Deserialization of settings files.
 
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 use stairhinge::{Code, Error};
 
-/// Reads settings from YAML.
+/// Deserializes settings from YAML.
 ///
 /// # Errors
 ///
-/// [`Code::BadSettings`] in one line: where it is not YAML, or the field, its
-/// value and what is allowed.
+/// [`Code::BadSettings`] with a message of one line: the position of invalid
+/// YAML, or the field, its value and what is allowed.
 pub fn read_settings<T: DeserializeOwned>(text: &str) -> Result<T, Error> {
     let value: Value = serde_saphyr::from_str(text).map_err(fault)?;
     serde_path_to_error::deserialize(value).map_err(fault)
--- a/crates/shell/src/refused.rs
+++ b/crates/shell/src/refused.rs
@@ -1,4 +1,4 @@
-//! Telling a process that has ended from a connection that has.
+//! Detects whether a process has ended or only its connection.
 
 use std::io::{Error, ErrorKind};
 use std::net::SocketAddr;
@@ -6,9 +6,12 @@
 
 use tokio::net::TcpStream;
 
-/// Returns whether nobody listens at an address, by the word of its instance:
-/// the process there has ended. One that lives accepts; an instance without
-/// power, or behind a cut, says nothing `within` the time.
+/// Returns whether a TCP connection to `addr` is refused, which means that the
+/// process there has ended.
+///
+/// A running process accepts the connection. An instance that is powered off
+/// or unreachable does not respond `within` the time limit; the result is
+/// then false, as the state of the process is unknown.
 pub async fn is_refused(addr: SocketAddr, within: Duration) -> bool {
     let opened = tokio::time::timeout(within, TcpStream::connect(addr));
     let refused = |e: Error| e.kind() == ErrorKind::ConnectionRefused;
--- a/crates/shell/src/settings.rs
+++ b/crates/shell/src/settings.rs
@@ -1,8 +1,8 @@
-//! Settings files: flat YAML, checked whole at start.
+//! Settings files in flat YAML, fully validated at start.
 //!
-//! Each program has one table of [`Field`]s. The same table checks a file,
-//! fills in what it leaves out, and makes `docs/SETTINGS.md`, so that these
-//! cannot drift apart.
+//! Each program has one table of [`Field`]s. The table validates a file,
+//! supplies the defaults and generates `docs/SETTINGS.md`, so that these
+//! always agree.
 
 mod field;
 mod values;
@@ -15,11 +15,11 @@
 use stairhinge::Code;
 use stairhinge::declaration::{Fault, Faults};
 
-/// Reads and checks a settings file under a table.
+/// Reads a settings file and validates it against a table.
 ///
 /// # Errors
 ///
-/// All faults at once, each with its line.
+/// All faults in the file, each with its line.
 pub fn load(path: &Path, table: &[Field]) -> Result<Values, Faults> {
     let text = std::fs::read_to_string(path).map_err(|e| {
         Faults::from(Fault::new(
--- a/crates/shell/src/settings/field.rs
+++ b/crates/shell/src/settings/field.rs
@@ -1,32 +1,32 @@
-//! One field of a settings file.
+//! The fields of settings files and their documentation.
 
 use std::fmt::Write as _;
 
-/// What a field's value looks like, with its usual value.
+/// The type of a field, with its range and default.
 #[derive(Clone, Copy, Debug)]
 pub enum Shape {
-    /// A name; must be given.
+    /// A required name of 1 to 64 bytes.
     Name,
-    /// An IP address with a port; must be given.
+    /// A required IP address with a port.
     Address,
-    /// An IP address with a port, or nothing.
+    /// An optional IP address with a port.
     MaybeAddress,
-    /// A list of IP addresses with ports; usually empty.
+    /// A list of IP addresses with ports, empty by default.
     Addresses,
-    /// A whole number with its usual value and range.
+    /// An integer with a default and a range.
     Number {
-        /// What it is if the file does not say.
+        /// The default.
         usual: u64,
-        /// The least allowed.
+        /// The smallest allowed value.
         least: u64,
-        /// The most allowed.
+        /// The largest allowed value.
         most: u64,
-        /// The unit.
+        /// The unit, as documented.
         unit: &'static str,
     },
-    /// One of some words, the usual one first.
+    /// One of several words, of which the first is the default.
     Word(&'static [&'static str]),
-    /// Yes or no, with the usual value.
+    /// A boolean with a default.
     Flag(bool),
 }
 
@@ -39,7 +39,8 @@
 }
 
 impl Field {
-    /// Returns a field with a name, a shape and one sentence of meaning.
+    /// Returns a field with its name, its shape and a description of one
+    /// sentence.
     pub const fn new(
         name: &'static str,
         shape: Shape,
@@ -48,7 +49,8 @@
         Field { name, shape, meaning }
     }
 
-    /// Returns a numeric field.
+    /// Returns an integer field; the tuple holds the default, the smallest and
+    /// the largest value.
     pub const fn number(
         name: &'static str,
         (usual, least, most): (u64, u64, u64),
@@ -79,7 +81,7 @@
     }
 }
 
-/// Returns the fields that every program of the system has.
+/// Returns the fields that the settings of all programs have in common.
 pub const fn common() -> [Field; 16] {
     [
         Field::new("name", Shape::Name, "The instance's name."),
@@ -159,7 +161,7 @@
     ]
 }
 
-/// Renders the rows of `docs/SETTINGS.md` for a table.
+/// Renders a table of fields in Markdown, for `docs/SETTINGS.md`.
 pub fn document(table: &[Field]) -> String {
     let mut out = String::from(
         "| field | unit | usual | range | meaning |\n\
--- a/crates/shell/src/settings/values.rs
+++ b/crates/shell/src/settings/values.rs
@@ -1,4 +1,4 @@
-//! The checked values of a settings file.
+//! The validated values of a settings file.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -22,21 +22,21 @@
     Flag(bool),
 }
 
-/// The values of all fields of a table, given or usual.
+/// The values of all fields of a table, with defaults where the file has none.
 ///
-/// The getters panic if the field is not in the table with that shape: that
-/// is a fault of the program, and every start of it would show it.
+/// The getters panic if the table has no such field of the matching shape.
+/// That is a programming error, which shows at every start of the program.
 #[derive(Clone, Debug)]
 pub struct Values {
     map: BTreeMap<&'static str, Checked>,
 }
 
 impl Values {
-    /// Checks the text of a settings file under a table.
+    /// Parses the text of a settings file and validates it against a table.
     ///
     /// # Errors
     ///
-    /// All faults at once, each with its line.
+    /// All faults in the text, each with its line.
     pub fn parse(text: &str, table: &[Field]) -> Result<Values, Faults> {
         let raw: Raw = parse_yaml(text)?;
         let mut faults = Faults::new();
@@ -68,7 +68,7 @@
         Ok(Values { map })
     }
 
-    /// Returns the text of a name or word field.
+    /// Returns the value of a name or word field.
     pub fn text(&self, name: &str) -> Arc<str> {
         match self.map.get(name) {
             Some(Checked::Text(text)) => Arc::clone(text),
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Returns the number of a field.
+    /// Returns the value of a number field.
     pub fn number(&self, name: &str) -> u64 {
         match self.map.get(name) {
             Some(Checked::Number(n)) => *n,
@@ -84,12 +84,12 @@
         }
     }
 
-    /// Returns the span of a field in milliseconds.
+    /// Returns the value of a number field in milliseconds as a duration.
     pub fn millis(&self, name: &str) -> Duration {
         Duration::from_millis(self.number(name))
     }
 
-    /// Returns whether a flag is set.
+    /// Returns the value of a flag field.
     pub fn flag(&self, name: &str) -> bool {
         match self.map.get(name) {
             Some(Checked::Flag(flag)) => *flag,
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Returns the addresses of a field.
+    /// Returns the values of an address field.
     pub fn addresses(&self, name: &str) -> &[SocketAddr] {
         match self.map.get(name) {
             Some(Checked::Addresses(list)) => list,
@@ -105,12 +105,12 @@
         }
     }
 
-    /// Returns the address of a field that may be left out.
+    /// Returns the value of an optional address field.
     pub fn maybe(&self, name: &str) -> Option<SocketAddr> {
         self.addresses(name).first().copied()
     }
 
-    /// Returns the address of a field that must be given.
+    /// Returns the value of a required address field.
     pub fn address(&self, name: &str) -> SocketAddr {
         match self.maybe(name) {
             Some(addr) => addr,
@@ -123,7 +123,7 @@
     field: &Field,
     raw: Option<&Spanned<Value>>,
 ) -> Result<Checked, Fault> {
-    let Some(raw) = raw else { return usual(field) };
+    let Some(raw) = raw else { return default_value(field) };
     let line = raw.referenced.line();
     let fault = |code, allowed: String| {
         Err(Fault::new(code, line, field.name, &raw.value, allowed))
@@ -167,7 +167,7 @@
     value.as_str()?.parse().ok()
 }
 
-fn usual(field: &Field) -> Result<Checked, Fault> {
+fn default_value(field: &Field) -> Result<Checked, Fault> {
     match field.shape {
         Shape::Name | Shape::Address => Err(Fault::new(
             Code::BadYaml,
--- a/crates/shell/src/settings_watch.rs
+++ b/crates/shell/src/settings_watch.rs
@@ -1,8 +1,8 @@
-//! Noticing that a process's settings have changed.
+//! Detects changes of a process's settings.
 //!
-//! Whoever changes them may send SIGHUP or not, so the source is also read
-//! now and then. A source that is caught half written fails to parse, and is
-//! read again with the next look.
+//! Not everyone who changes settings sends SIGHUP, so the source is polled as
+//! well. A source that is read while it is being written fails to parse, and
+//! is read again by the next poll.
 
 use std::time::Duration;
 
@@ -10,29 +10,29 @@
 
 use crate::HangUps;
 
-/// How often the source is read without a signal.
-const LOOK: Duration = Duration::from_millis(2_000);
+/// The time between reads of the source without a signal.
+const POLL_INTERVAL: Duration = Duration::from_millis(2_000);
 
-/// Reads the text of a process's settings.
+/// A source of a process's settings, such as a file.
 pub trait SettingsSource: Send + Sync {
-    /// Returns the text that stands there now.
+    /// Returns the current text of the settings.
     ///
     /// # Errors
     ///
-    /// [`Unreadable`](stairhinge::Code::Unreadable) if there is none.
+    /// [`Unreadable`](stairhinge::Code::Unreadable) if it cannot be read.
     fn read(&self) -> Result<String, Error>;
 }
 
-/// Waits for other settings than those known.
+/// Waits for the settings of a source to change.
 pub struct SettingsWatch {
     source: Box<dyn SettingsSource>,
     hang_ups: HangUps,
-    /// What was read last; `None` while the source is unreadable.
+    /// The text that was read last; `None` while the source is unreadable.
     known: Option<String>,
 }
 
 impl SettingsWatch {
-    /// Returns a watch by a process that has read `known` at its start.
+    /// Returns a watch for a process that has read `known` at its start.
     pub fn new(
         source: Box<dyn SettingsSource>,
         known: String,
@@ -41,28 +41,29 @@
         SettingsWatch { source, hang_ups, known: Some(known) }
     }
 
-    /// Waits until other settings stand there, or somebody says so, and
-    /// returns what stands there.
+    /// Waits until the settings change or a SIGHUP arrives, and returns the
+    /// current text.
     ///
     /// # Errors
     ///
-    /// [`Unreadable`](stairhinge::Code::Unreadable) if the source cannot be
-    /// read any more; once, or whenever somebody says that it has changed.
+    /// [`Unreadable`](stairhinge::Code::Unreadable) when the source becomes
+    /// unreadable, and again at each SIGHUP while it stays so.
     pub async fn changed(&mut self) -> Result<String, Error> {
         loop {
             let signal = self.hang_ups.next();
-            let told = tokio::time::timeout(LOOK, signal).await.is_ok();
+            let signalled =
+                tokio::time::timeout(POLL_INTERVAL, signal).await.is_ok();
             match self.source.read() {
                 Ok(text) => {
                     let same = self.known.as_ref() == Some(&text);
-                    if told || !same {
+                    if signalled || !same {
                         self.known = Some(text.clone());
                         return Ok(text);
                     }
                 }
                 Err(error) => {
                     let was_known = self.known.take().is_some();
-                    if told || was_known {
+                    if signalled || was_known {
                         return Err(error);
                     }
                 }
--- a/crates/shell/src/shutdown.rs
+++ b/crates/shell/src/shutdown.rs
@@ -1,66 +1,68 @@
-//! The planned stop of a process.
+//! Graceful shutdown and signal handling.
 
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::watch;
 
-/// Tells a process's tasks to stop.
+/// The sending half of a shutdown signal.
 #[derive(Clone, Debug)]
 pub struct Stopper(watch::Sender<bool>);
 
-/// Tells a task whether, and when, its process is to stop.
+/// The receiving half of a shutdown signal, for the tasks of a process.
 #[derive(Clone, Debug)]
 pub struct Shutdown(watch::Receiver<bool>);
 
 impl Shutdown {
-    /// Returns both ends.
+    /// Returns both halves of a new shutdown signal.
     pub fn new() -> (Stopper, Shutdown) {
         let (tx, rx) = watch::channel(false);
         (Stopper(tx), Shutdown(rx))
     }
 
-    /// Waits until the process is to stop.
+    /// Waits until the shutdown begins.
     pub async fn wait(&self) {
         let mut rx = self.0.clone();
-        // A dropped stopper means that nobody is left to wait for.
+        // Dropping the `Stopper` begins the shutdown as well.
         let _ = rx.wait_for(|stop| *stop).await;
     }
 
-    /// Returns whether the process is to stop.
+    /// Returns whether the shutdown has begun.
     pub fn stopping(&self) -> bool {
         *self.0.borrow()
     }
 }
 
 impl Stopper {
-    /// Tells all tasks to stop.
+    /// Begins the shutdown in all tasks.
     pub fn stop(&self) {
         self.0.send_replace(true);
     }
 }
 
-/// Stops on SIGTERM and SIGINT. A SIGHUP is noted and ends nothing: the
-/// program reads its settings at its start only.
+/// Begins the shutdown on SIGTERM or SIGINT; SIGHUP only logs a warning.
+///
+/// For programs that read their settings only at start.
 ///
 /// # Errors
 ///
-/// If the signals cannot be listened for.
+/// If the signal handlers cannot be installed.
 pub fn on_signals() -> std::io::Result<Shutdown> {
     let mut hang_ups = HangUps::listen()?;
     tokio::spawn(async move {
         loop {
             hang_ups.next().await;
-            log::warn!("settings are read again at the next start only");
+            log::warn!("ignored SIGHUP: settings are read only at start");
         }
     });
     stop_on_signals()
 }
 
-/// Stops on SIGTERM and SIGINT; the caller handles SIGHUP, which ends a
-/// process that does not.
+/// Begins the shutdown on SIGTERM or SIGINT.
+///
+/// The caller has to handle SIGHUP, which by default ends the process.
 ///
 /// # Errors
 ///
-/// If the signals cannot be listened for.
+/// If the signal handlers cannot be installed.
 pub fn stop_on_signals() -> std::io::Result<Shutdown> {
     let (stopper, shutdown) = Shutdown::new();
     let mut term = signal(SignalKind::terminate())?;
@@ -75,23 +77,23 @@
     Ok(shutdown)
 }
 
-/// Hang-ups (SIGHUP), which tell that settings have changed.
+/// A stream of SIGHUP signals, which announce changed settings.
 #[derive(Debug)]
 pub struct HangUps(Signal);
 
 impl HangUps {
-    /// Listens for hang-ups, which end the process no more.
+    /// Starts listening for SIGHUP, which then no longer ends the process.
     ///
     /// # Errors
     ///
-    /// If the signal cannot be listened for.
+    /// If the signal handler cannot be installed.
     pub fn listen() -> std::io::Result<HangUps> {
         signal(SignalKind::hangup()).map(HangUps)
     }
 
-    /// Waits for the next one.
+    /// Waits for the next SIGHUP.
     pub async fn next(&mut self) {
-        // There is no end of it while the process lives.
+        // The stream of signals never ends while the process runs.
         self.0.recv().await;
     }
 }
--- a/crates/shell/src/slot.rs
+++ b/crates/shell/src/slot.rs
@@ -1,4 +1,4 @@
-//! The listening addresses of a process.
+//! The listening sockets of a process.
 
 use std::net::{IpAddr, SocketAddr, TcpListener};
 
@@ -6,10 +6,10 @@
 
 use crate::settings::Values;
 
-/// The listening addresses of a process, bound.
+/// The bound listening sockets of a process.
 ///
-/// A bound address is also the lock between an old and a new process of one
-/// instance: the second one cannot take the slot while the first holds it.
+/// The sockets also serve as a lock between the old and the new process of an
+/// instance: the new one cannot bind them while the old one holds them.
 #[derive(Debug)]
 pub struct Slot {
     pub(crate) http: TcpListener,
@@ -17,7 +17,7 @@
 }
 
 impl Slot {
-    /// Binds the addresses of a settings file.
+    /// Binds the addresses that a settings file configures.
     ///
     /// # Errors
     ///
@@ -29,33 +29,33 @@
         })
     }
 
-    /// Binds free ports of an address, for many roles in one process.
+    /// Binds free ports of an IP address, to run many roles in one process.
     ///
     /// # Errors
     ///
-    /// [`Code::CannotBind`] if there is none.
+    /// [`Code::CannotBind`] if no port is free.
     pub fn free(ip: IpAddr) -> Result<Slot, Error> {
         let any = SocketAddr::new(ip, 0);
         Ok(Slot { http: bind(any)?, control: bind(any)? })
     }
 
-    /// Returns where the process takes requests and where control calls.
+    /// Returns the address for requests and the one for control calls.
     ///
     /// # Errors
     ///
-    /// [`Code::CannotBind`] if the system does not tell.
+    /// [`Code::CannotBind`] if the system does not report an address.
     pub fn addresses(&self) -> Result<(SocketAddr, SocketAddr), Error> {
-        let told = |l: &TcpListener| {
+        let local_addr = |l: &TcpListener| {
             l.local_addr().map_err(|e| Error::new(Code::CannotBind, e))
         };
-        Ok((told(&self.http)?, told(&self.control)?))
+        Ok((local_addr(&self.http)?, local_addr(&self.control)?))
     }
 
-    /// Takes the slot apart: the listener of requests, that of control calls.
+    /// Returns the listener for requests and the one for control calls.
     ///
     /// # Errors
     ///
-    /// [`Code::CannotBind`] if the first cannot be taken over by the runtime.
+    /// [`Code::CannotBind`] if the runtime cannot register the first listener.
     pub fn split(
         self,
     ) -> Result<(tokio::net::TcpListener, TcpListener), Error> {
