--- a/crates/shell/src/decisions_tests.rs
+++ b/crates/shell/src/decisions_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the log of decisions.
+//! Tests of the decision log.
 
 use std::sync::Arc;
 
@@ -19,7 +19,7 @@
 };
 
 #[test]
-fn each_line_is_json_and_names_no_field_twice() {
+fn each_line_is_json_without_duplicate_fields() {
     let log = DecisionLog::new(DecisionLog::MOST_BYTES);
     log.write(&ENDED);
     log.write(&Decision::Cancelled { request: "r2", took_ms: 7 });
@@ -43,13 +43,13 @@
 }
 
 #[test]
-fn a_reader_that_does_not_read_costs_lines_and_nothing_else() {
+fn a_full_buffer_drops_lines_and_logs_their_number() {
     let log = DecisionLog::new(4_096);
     for _ in 0..10_000 {
         log.write(&ENDED);
     }
     let text = String::from_utf8(log.take()).unwrap();
-    assert!(text.len() < 5_000, "{} bytes held", text.len());
+    assert!(text.len() < 5_000, "{} bytes buffered", text.len());
     let last: Value =
         serde_json::from_str(text.lines().last().unwrap()).unwrap();
     assert_eq!(last["event"], "dropped");
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn what_is_logged_of_requests_explains_them() {
+fn logged_request_decisions_parse_for_explanations() {
     let log = DecisionLog::new(DecisionLog::MOST_BYTES);
     let written = [
         Decision::Start {
--- a/crates/shell/tests/catch_up.rs
+++ b/crates/shell/tests/catch_up.rs
@@ -1,12 +1,11 @@
-//! Catching up with a platform after a time out of touch.
+//! Catching up with the platform after a loss of contact.
 //!
-//! What callers saw: entries answered by routes that were over the bound, some
-//! of them seconds after they could reach the platform again. A watch brings
-//! each revision since the last one known, whole, so the longer an entry had
-//! heard nothing, the more it drew before it knew what is in force: an entry
-//! that had been frozen for 5 s read five documents of 350 KB in 2.2 s, and
-//! thirteen of them at once two and three each in 3 s. What proved it:
-//! `documents` over 1 in the `routes_taken` lines of just the late ones.
+//! Guards against entries that use routes older than the bound, even seconds
+//! after they can reach the platform again. A watch returns each revision
+//! since the last known one as a complete document, so the download grows with
+//! the length of the outage. An entry that had been frozen for 5 s read five
+//! documents of 350 KB in 2.2 s, and of thirteen entries at once each read two
+//! or three in 3 s. Such entries log `documents` above 1 in `routes_taken`.
 
 mod support;
 
@@ -24,30 +23,31 @@
 use support::{Nobody, Routes, fresh, share_reading, until};
 
 #[tokio::test]
-async fn who_was_out_of_touch_reads_only_what_is_in_force() {
+async fn only_the_newest_routes_are_read_after_an_outage() {
     let platform = Routes::start();
     let (facts, _stopper) =
         share_reading(Arc::clone(&platform) as _, Arc::new(Nobody));
     until("the first routes", || facts.revision() == 1).await;
     platform.publish_unseen().await;
-    // A watch that was under way has brought what came until its end.
+    // A watch in progress may have returned revisions until its end.
     let known = facts.revision();
     let before = platform.handed.load(Ordering::Relaxed);
     platform.down.store(false, Ordering::Relaxed);
-    until("what is in force", || facts.revision() == 7).await;
+    until("the newest routes", || facts.revision() == 7).await;
     let handed = platform.handed.load(Ordering::Relaxed) - before;
-    assert_eq!(handed, 1, "documents were read, from revision {known} on");
+    assert_eq!(handed, 1, "documents read after revision {known}");
 }
 
-/// A reader that tells what it is set to, or is silent.
+/// A reader that reports the collection position that is set, or nobody to
+/// ask while it is 0.
 #[derive(Default)]
-struct Switched {
-    told: AtomicU64,
+struct AdjustableReader {
+    reported_at: AtomicU64,
 }
 
-impl HallReader for Switched {
+impl HallReader for AdjustableReader {
     fn ask(&self, question: SharedQuestion) -> BoxFuture<'_, HallNews> {
-        let at = self.told.load(Ordering::Relaxed);
+        let at = self.reported_at.load(Ordering::Relaxed);
         Box::pin(async move {
             if at == 0 || question.after.is_none() {
                 return HallNews::Nobody;
@@ -78,26 +78,26 @@
     }
 }
 
-/// An entry that had been out of touch, and heard from its hall since, is out
-/// of touch again: that it once read all must not count any more.
+/// Guards against an entry that skips the catch-up in a second outage because
+/// it has caught up before: in between, it had heard only from its data hall.
 #[tokio::test]
-async fn who_is_out_of_touch_again_reads_only_what_is_in_force() {
+async fn only_the_newest_routes_are_read_after_a_second_outage() {
     let platform = Routes::start();
-    let reader = Arc::new(Switched::default());
+    let reader = Arc::new(AdjustableReader::default());
     let (facts, _stopper) =
         share_reading(Arc::clone(&platform) as _, Arc::clone(&reader) as _);
     until("the first routes", || facts.revision() == 1).await;
     let handed = || platform.handed.load(Ordering::Relaxed);
     for round in 1..=2 {
-        reader.told.store(0, Ordering::Relaxed);
+        reader.reported_at.store(0, Ordering::Relaxed);
         platform.publish_unseen().await;
         let before = handed();
         let newest = *platform.newest.borrow();
         platform.down.store(false, Ordering::Relaxed);
-        until("what is in force", || facts.revision() == newest).await;
-        // From now on its hall tells it that nothing is new.
-        reader.told.store(newest, Ordering::Relaxed);
-        assert_eq!(handed() - before, 1, "documents, time {round}");
+        until("the newest routes", || facts.revision() == newest).await;
+        // From now on, its data hall reports no newer routes.
+        reader.reported_at.store(newest, Ordering::Relaxed);
+        assert_eq!(handed() - before, 1, "documents read in round {round}");
         tokio::time::sleep(Duration::from_millis(300)).await;
     }
 }
--- a/crates/shell/tests/follow.rs
+++ b/crates/shell/tests/follow.rs
@@ -1,4 +1,4 @@
-//! Following a platform that publishes in quick succession.
+//! Following the routes that a platform publishes.
 
 mod support;
 
@@ -23,7 +23,7 @@
 };
 
 #[tokio::test]
-async fn of_routes_in_quick_succession_only_some_are_read() {
+async fn not_every_revision_of_a_burst_is_read() {
     let platform = Routes::start();
     let log = DecisionLog::new(DecisionLog::MOST_BYTES);
     let facts = Arc::new(Facts::new(log, Duration::ZERO));
@@ -48,20 +48,20 @@
     }
     until("the newest routes", || facts.revision() == 1 + published).await;
     let handed = platform.handed.load(Ordering::Relaxed);
-    assert!(handed <= 40, "{handed} documents were read");
-    // Once it is calm, a watch waits again: a single change comes by itself.
+    assert!(handed <= 40, "{handed} documents read");
+    // After the burst, watches wait again and return a single change at once.
     let calls = || platform.calls.load(Ordering::Relaxed);
     let before = calls();
     tokio::time::sleep(Duration::from_millis(1_500)).await;
-    assert!(calls() <= before + 3, "it goes on reading");
+    assert!(calls() <= before + 3, "it keeps polling after the burst");
     platform.newest.send_modify(|n| *n += 1);
     until("one more", || facts.revision() == 2 + published).await;
 }
 
-/// A reader that says it has newer routes, and hands over old ones.
-struct Behind;
+/// A reader that announces newer routes but returns old ones.
+struct StaleRoutesReader;
 
-impl HallReader for Behind {
+impl HallReader for StaleRoutesReader {
     fn news(&self, question: SharedQuestion) -> BoxFuture<'_, ReaderAnswer> {
         Nobody.news(question)
     }
@@ -76,7 +76,7 @@
 
     fn ask(&self, question: SharedQuestion) -> BoxFuture<'_, HallNews> {
         Box::pin(async move {
-            // Asked only by those who know something.
+            // Only an entry that already knows routes gets an answer.
             if question.after.is_none() {
                 return HallNews::Nobody;
             }
@@ -90,23 +90,26 @@
         entry: SocketAddr,
         _within: Duration,
     ) -> BoxFuture<'_, Result<Bytes, Error>> {
-        assert_eq!(entry, BEHIND, "the one that answered is asked");
+        assert_eq!(
+            entry, BEHIND,
+            "the routes are fetched from the entry that answered"
+        );
         Box::pin(async { Ok(Bytes::from_static(b"1")) })
     }
 }
 
 #[tokio::test]
-async fn old_routes_of_a_reader_that_is_ahead_skip_no_revision() {
+async fn stale_routes_from_a_reader_do_not_hide_newer_ones() {
     let platform = Routes::start();
     let (facts, _stopper) =
-        share_reading(Arc::clone(&platform) as _, Arc::new(Behind));
+        share_reading(Arc::clone(&platform) as _, Arc::new(StaleRoutesReader));
     until("the first routes", || facts.revision() == 1).await;
     platform.newest.send_modify(|n| *n += 1);
     until("the next routes", || facts.revision() == 2).await;
 }
 
 #[tokio::test]
-async fn who_shares_reading_never_waits_long_at_the_platform() {
+async fn watches_of_an_entry_that_shares_reads_are_short() {
     let platform = Routes::start();
     let (_facts, _stopper) =
         share_reading(Arc::clone(&platform) as _, Arc::new(Nobody));
@@ -116,19 +119,19 @@
     assert!((1..=300).contains(&longest), "{longest} ms");
 }
 
-/// A hall of which nothing is known for a while, and then one entry.
-struct Unknown {
+/// A data hall in which another entry is found only after a while.
+struct UndiscoveredReader {
     found: AtomicBool,
 }
 
-impl HallReader for Unknown {
+impl HallReader for UndiscoveredReader {
     fn ask(&self, _question: SharedQuestion) -> BoxFuture<'_, HallNews> {
         let found = self.found.load(Ordering::Relaxed);
         Box::pin(async move {
             if !found {
                 return HallNews::Nobody;
             }
-            // It takes as long as a question does that waits for news.
+            // Takes time, as a question that waits for news does.
             tokio::time::sleep(Duration::from_millis(20)).await;
             HallNews::Told(fresh(7, 0, None))
         })
@@ -155,14 +158,15 @@
     }
 }
 
-/// Where all start for the first time, nobody reads before it had the time to
-/// find others.
+/// At the first start of all entries, none of them reads from the platform
+/// before it had time to discover the others.
 #[tokio::test]
-async fn who_knows_nobody_at_the_first_start_leaves_the_platform_to_others() {
+async fn discovery_precedes_platform_reads_at_the_first_start() {
     let settling = Duration::from_millis(2_000);
     let start = |first| {
         let routes = Routes::start();
-        let reader = Arc::new(Unknown { found: AtomicBool::new(false) });
+        let reader =
+            Arc::new(UndiscoveredReader { found: AtomicBool::new(false) });
         let shared = Arc::clone(&reader) as Arc<dyn HallReader>;
         let directory = Arc::clone(&routes) as Arc<dyn Directory>;
         let running = share_reading_from(directory, shared, settling, first);
@@ -172,20 +176,24 @@
     tokio::time::sleep(settling).await;
     reader.found.store(true, Ordering::Relaxed);
     tokio::time::sleep(settling).await;
-    assert_eq!(routes.calls.load(Ordering::Relaxed), 0, "others had read");
-    // Where nobody is found, it reads in the end.
+    assert_eq!(
+        routes.calls.load(Ordering::Relaxed),
+        0,
+        "another entry had read already"
+    );
+    // An entry that finds no other one reads eventually.
     let (routes, _reader, (facts, _stopper)) = start(true);
     until("the routes are read", || facts.revision() == 1).await;
     let calls = routes.calls.load(Ordering::Relaxed);
     assert!(calls <= 2, "{calls} calls");
 }
 
-/// A reader that has old news for a while.
-struct Slow {
+/// A reader that is itself waiting for news for a while.
+struct AwaitingReader {
     asked: AtomicU32,
 }
 
-impl HallReader for Slow {
+impl HallReader for AwaitingReader {
     fn news(&self, question: SharedQuestion) -> BoxFuture<'_, ReaderAnswer> {
         Nobody.news(question)
     }
@@ -206,7 +214,7 @@
             let answer = fresh(7, 0, None);
             HallNews::Told(answer)
         };
-        // It takes as long as a question does that waits for news.
+        // Takes time, as a question that waits for news does.
         Box::pin(async move {
             tokio::time::sleep(Duration::from_millis(20)).await;
             news
@@ -223,22 +231,21 @@
 }
 
 #[tokio::test]
-async fn who_awaits_others_leaves_the_platform_to_them() {
+async fn an_entry_that_awaits_a_reader_does_not_call_the_platform() {
     let routes = Routes::start();
-    let reader = Arc::new(Slow { asked: AtomicU32::new(0) });
+    let reader = Arc::new(AwaitingReader { asked: AtomicU32::new(0) });
     let shared = Arc::clone(&reader) as Arc<dyn HallReader>;
     let (_facts, _stopper) = share_reading(Arc::clone(&routes) as _, shared);
-    until("asked again and again", || {
-        reader.asked.load(Ordering::Relaxed) > 5
-    })
-    .await;
+    until("repeated questions", || reader.asked.load(Ordering::Relaxed) > 5)
+        .await;
     assert_eq!(routes.calls.load(Ordering::Relaxed), 0);
 }
 
-/// Calls that begin while the platform is silent get no answer once that is
-/// over, and say so only much later.
+/// Guards against waiting for a stuck call: calls that begin while the
+/// platform does not respond get no response after its recovery either, and
+/// fail only much later.
 #[tokio::test]
-async fn the_end_of_a_silence_is_noticed_by_a_new_call() {
+async fn a_new_call_detects_that_the_platform_responds_again() {
     let platform = Routes::start();
     let (facts, _stopper) =
         share_reading(Arc::clone(&platform) as _, Arc::new(Nobody));
@@ -252,15 +259,16 @@
         platform.silent.store(false, Ordering::Relaxed);
         let over = tokio::time::Instant::now();
         until("the newest routes", || facts.revision() == newest).await;
-        // Half of the bound; a call that had begun before takes thrice that.
+        // Half of the bound; a call from before the recovery takes three times
+        // as long.
         assert!(over.elapsed() < BOUND / 2, "{:?}", over.elapsed());
     }
 }
 
-/// A platform that answers nothing.
-struct Silent;
+/// A platform that never responds.
+struct UnresponsivePlatform;
 
-impl Directory for Silent {
+impl Directory for UnresponsivePlatform {
     fn list(
         &self,
         _collection: Collection,
@@ -283,10 +291,10 @@
     }
 }
 
-/// Readers that had old news when they were first asked.
-struct Later;
+/// Readers that have no answer at first and push news later.
+struct LateReader;
 
-impl HallReader for Later {
+impl HallReader for LateReader {
     fn ask(&self, _question: SharedQuestion) -> BoxFuture<'_, HallNews> {
         Box::pin(async { HallNews::Nobody })
     }
@@ -317,7 +325,8 @@
 }
 
 #[tokio::test]
-async fn a_silent_platform_keeps_nobody_from_news_of_others() {
-    let (facts, _stopper) = share_reading(Arc::new(Silent), Arc::new(Later));
+async fn news_of_other_entries_is_used_while_the_platform_hangs() {
+    let (facts, _stopper) =
+        share_reading(Arc::new(UnresponsivePlatform), Arc::new(LateReader));
     until("news", || facts.revision() == 1).await;
 }
--- a/crates/shell/tests/share.rs
+++ b/crates/shell/tests/share.rs
@@ -1,4 +1,4 @@
-//! What a process hands on of what it has read.
+//! Sharing what a process has read with other processes.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -12,7 +12,7 @@
 };
 use stairhinge_shell::packed::{pack, unpack};
 
-/// Returns a document of many records, one of them changed.
+/// Returns a document of many records, of which one depends on `revision`.
 fn document(revision: u64) -> String {
     let mut text = format!("{{\"revision\":{revision},\"routes\":[");
     for record in 0..400 {
@@ -50,17 +50,17 @@
 }
 
 #[tokio::test]
-async fn nothing_is_answered_before_anything_was_read() {
+async fn there_is_no_answer_before_the_first_read() {
     assert!(share().answer(&question(0)).await.is_none());
 }
 
 #[tokio::test]
-async fn who_knows_a_recent_revision_gets_a_patch_and_others_fetch_it() {
+async fn a_patch_is_sent_for_a_recent_revision_and_a_fetch_otherwise() {
     let share = share();
     for revision in 1..=3 {
         learn(share.facts(), revision);
         share.reach(Collection::Declarations, revision, share.facts().now());
-        // It is asked, so it holds what was in force.
+        // A process that is asked keeps the revision as a base of patches.
         share.answer(&question(0)).await.unwrap();
     }
     let answer = share.answer(&question(2)).await.unwrap();
@@ -78,7 +78,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_tells_its_age_and_comes_when_that_is_too_much() {
+async fn an_answer_has_its_age_and_is_sent_once_that_is_too_high() {
     let share = share();
     learn(share.facts(), 1);
     share.reach(Collection::Declarations, 1, share.facts().now());
@@ -88,8 +88,11 @@
     let asked = Instant::now();
     let answer = share.answer(&waits).await.unwrap();
     assert!(answer.age_ms > 100, "{answer:?}");
-    assert!(asked.elapsed() < Duration::from_millis(1_500), "it held it back");
-    // One that has been without the platform for long waits for news of it.
+    assert!(
+        asked.elapsed() < Duration::from_millis(1_500),
+        "the answer was delayed"
+    );
+    // Without recent contact to the platform, it waits for newer facts.
     waits.wait_ms = 200;
     let asked = Instant::now();
     share.answer(&waits).await.unwrap();
@@ -97,24 +100,27 @@
 }
 
 #[tokio::test]
-async fn newer_routes_are_told_at_once_by_one_without_the_platform() {
+async fn newer_routes_are_sent_at_once_without_the_platform() {
     let share = share();
     learn(share.facts(), 1);
     share.reach(Collection::Declarations, 1, share.facts().now());
     tokio::time::sleep(Duration::from_millis(50)).await;
-    // From a neighbour, long after the platform was last heard.
+    // From another entry, long after the last contact to the platform.
     learn(share.facts(), 2);
     let mut waits = question(1);
     waits.wait_ms = 2_000;
     waits.most_age_ms = 20;
     let asked = Instant::now();
     let answer = share.answer(&waits).await.unwrap();
-    assert!(asked.elapsed() < Duration::from_millis(1_000), "it held them");
+    assert!(
+        asked.elapsed() < Duration::from_millis(1_000),
+        "the routes were delayed"
+    );
     assert!(answer.has_newer_routes(&waits) && answer.age_ms > 20);
 }
 
 #[tokio::test]
-async fn a_list_that_is_too_old_to_be_taken_is_not_sent() {
+async fn a_replica_list_above_the_maximum_age_is_not_sent() {
     let share = share();
     share.reach(Collection::Replicas, 1, share.facts().now());
     let mut asks = question(0);
@@ -122,7 +128,7 @@
     asks.wait_ms = 10;
     asks.most_age_ms = 1_000;
     let fresh = share.answer(&asks).await.unwrap();
-    assert!(fresh.replicas.is_some(), "whole, to one that knows nothing");
+    assert!(fresh.replicas.is_some(), "no complete list for a first question");
     tokio::time::sleep(Duration::from_millis(40)).await;
     asks.most_age_ms = 20;
     let old = share.answer(&asks).await.unwrap();
@@ -130,7 +136,7 @@
 }
 
 #[test]
-fn what_is_not_packed_whole_or_too_much_is_refused() {
+fn incomplete_or_oversized_compressed_input_is_rejected() {
     let packed = pack(&[7; 10_000]);
     assert_eq!(unpack(&packed, 10_000).unwrap().len(), 10_000);
     assert_eq!(unpack(&packed, 9_999).unwrap_err().code(), Code::OtherDigest);
--- a/crates/shell/tests/support/mod.rs
+++ b/crates/shell/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A platform in memory, and following it as an entry does.
+//! An in-memory platform, and an entry that follows it.
 #![allow(dead_code)]
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -19,23 +19,22 @@
 use stairhinge_shell::{Shutdown, Stopper};
 use tokio::sync::watch;
 
-/// A platform with routes of rising revisions.
+/// An in-memory platform that publishes increasing revisions of routes.
 pub struct Routes {
     pub newest: watch::Sender<u64>,
-    /// Documents that it has handed out.
+    /// The number of documents that it has returned.
     pub handed: AtomicU64,
     pub calls: AtomicU64,
-    /// The longest that a watch was to wait, in milliseconds.
+    /// The longest wait that a watch has requested, in milliseconds.
     pub longest_wait: AtomicU64,
-    /// Whether no call is answered.
+    /// Whether all calls fail at once.
     pub down: AtomicBool,
-    /// Whether calls that begin now get no answer, and fail only after
-    /// [`LOST_AFTER`].
+    /// Whether new calls get no response and fail only after [`LOST_AFTER`].
     pub silent: AtomicBool,
 }
 
 impl Routes {
-    /// Publishes six revisions, 200 ms apart, while no call is answered.
+    /// Publishes six revisions, 200 ms apart, while all calls fail.
     pub async fn publish_unseen(&self) {
         self.down.store(true, Ordering::Relaxed);
         for _ in 0..6 {
@@ -56,7 +55,7 @@
     }
 }
 
-/// A hall without another entry that could be asked.
+/// A data hall without another entry to ask.
 pub struct Nobody;
 
 impl HallReader for Nobody {
@@ -81,7 +80,7 @@
         _entry: SocketAddr,
         _within: Duration,
     ) -> BoxFuture<'_, Result<Bytes, Error>> {
-        unreachable!("nobody has answered")
+        unreachable!("no entry has answered")
     }
 }
 
@@ -95,13 +94,13 @@
     Record::Routes(Arc::new(table), Bytes::new())
 }
 
-/// Reads a document, which is the number of its revision.
+/// Parses a document, which consists of its revision number.
 pub fn parsed(document: &[u8]) -> Result<Record, Error> {
     let text = std::str::from_utf8(document).unwrap();
     Ok(record(text.parse().unwrap()))
 }
 
-/// How long a call to a silent platform takes to fail.
+/// How long a call to an unresponsive platform takes to fail.
 pub const LOST_AFTER: Duration = Duration::from_millis(1_500);
 
 async fn unanswered<T>() -> Result<T, Error> {
@@ -172,10 +171,10 @@
     }
 }
 
-/// Within which published routes have to be in force.
+/// The time limit for published routes to come into force.
 pub const BOUND: Duration = Duration::from_millis(900);
 
-/// Follows the routes as an entry that asks another one first.
+/// Follows the routes as an entry that asks another entry first.
 pub fn share_reading(
     directory: Arc<dyn Directory>,
     reader: Arc<dyn HallReader>,
@@ -183,8 +182,8 @@
     share_reading_from(directory, reader, Duration::ZERO, false)
 }
 
-/// Follows the routes as [`share_reading`], from a start at which nobody
-/// counts on the process for a while.
+/// Follows the routes like [`share_reading`], from a start after which no
+/// caller depends on the process for the time `settling`.
 pub fn share_reading_from(
     directory: Arc<dyn Directory>,
     reader: Arc<dyn HallReader>,
@@ -212,12 +211,15 @@
 pub async fn until(what: &str, condition: impl Fn() -> bool) {
     let end = tokio::time::Instant::now() + Duration::from_secs(30);
     while !condition() {
-        assert!(tokio::time::Instant::now() < end, "never: {what}");
+        assert!(
+            tokio::time::Instant::now() < end,
+            "timed out waiting for: {what}"
+        );
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
 
-/// The address of the one reader of these tests.
+/// The address of the only reader in these tests.
 pub const BEHIND: SocketAddr =
     SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 1);
 
