--- a/crates/shell/src/http/body.rs
+++ b/crates/shell/src/http/body.rs
@@ -87,7 +87,7 @@
     StreamBody::new(futures::stream::once(piece).boxed()).boxed_unsync()
 }
 
-/// Reads a complete body of at most `most` bytes, within a time limit.
+/// Reads a complete body of at most `max_bytes` bytes within a time limit.
 ///
 /// # Errors
 ///
@@ -95,14 +95,14 @@
 /// the time limit, or [`Code::MalformedHttp`] if the body is cut short.
 pub async fn read<B>(
     body: B,
-    most: usize,
+    max_bytes: usize,
     within: Duration,
 ) -> Result<Bytes, Error>
 where
     B: hyper::body::Body<Data = Bytes>,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
-    let limited = Limited::new(body, most);
+    let limited = Limited::new(body, max_bytes);
     let collected = tokio::time::timeout(within, limited.collect()).await;
     match collected {
         Err(_) => Err(Error::new(
@@ -115,7 +115,7 @@
             Err(if large {
                 Error::new(
                     Code::BodyTooLarge,
-                    format_args!("body above {most} bytes"),
+                    format_args!("body above {max_bytes} bytes"),
                 )
             } else {
                 Error::new(Code::MalformedHttp, err)
--- a/crates/shell/src/http/client.rs
+++ b/crates/shell/src/http/client.rs
@@ -110,12 +110,12 @@
     /// # Errors
     ///
     /// [`Code::PeerLost`] without a complete response in time, or if its body
-    /// has more than `most` bytes.
+    /// has more than `max_bytes` bytes.
     pub async fn get(
         &self,
         addr: SocketAddr,
         path: &str,
-        most: usize,
+        max_bytes: usize,
         within: Duration,
     ) -> Result<(u16, hyper::HeaderMap, Bytes), Error> {
         let lost = |why: &dyn fmt::Display| {
@@ -126,7 +126,8 @@
         let response =
             self.send(addr, request, within).await.map_err(|e| lost(&e))?;
         let (head, body) = response.into_parts();
-        let bytes = read(body, most, within).await.map_err(|e| lost(&e))?;
+        let bytes =
+            read(body, max_bytes, within).await.map_err(|e| lost(&e))?;
         Ok((head.status.as_u16(), head.headers, bytes))
     }
 }
--- a/crates/shell/src/packed.rs
+++ b/crates/shell/src/packed.rs
@@ -21,21 +21,23 @@
     Bytes::from(packed.unwrap_or_default())
 }
 
-/// Decompresses bytes, up to a size of `most` bytes.
+/// Decompresses bytes, up to a size of `max_bytes` bytes.
 ///
 /// # Errors
 ///
 /// [`Code::OtherDigest`] if the input is not a complete gzip stream, or holds
-/// more than `most` bytes.
-pub fn unpack(packed: &[u8], most: usize) -> Result<Bytes, Error> {
+/// more than `max_bytes` bytes.
+pub fn unpack(packed: &[u8], max_bytes: usize) -> Result<Bytes, Error> {
     let wrong = |why: String| Error::new(Code::OtherDigest, why);
     let mut bytes = Vec::new();
-    let mut decoder = GzDecoder::new(packed).take(most as u64 + 1);
+    let mut decoder = GzDecoder::new(packed).take(max_bytes as u64 + 1);
     decoder
         .read_to_end(&mut bytes)
         .map_err(|e| wrong(format!("a packed document: {e}")))?;
-    if bytes.len() > most {
-        return Err(wrong(format!("a packed document over {most} bytes")));
+    if bytes.len() > max_bytes {
+        return Err(wrong(format!(
+            "a packed document over {max_bytes} bytes"
+        )));
     }
     Ok(Bytes::from(bytes))
 }
--- a/crates/shell/src/settings/field.rs
+++ b/crates/shell/src/settings/field.rs
@@ -16,11 +16,11 @@
     /// An integer with a default and a range.
     Number {
         /// The default.
-        usual: u64,
+        default: u64,
         /// The smallest allowed value.
-        least: u64,
+        min: u64,
         /// The largest allowed value.
-        most: u64,
+        max: u64,
         /// The unit, as documented.
         unit: &'static str,
     },
@@ -35,7 +35,7 @@
 pub struct Field {
     pub(super) name: &'static str,
     pub(super) shape: Shape,
-    meaning: &'static str,
+    description: &'static str,
 }
 
 impl Field {
@@ -44,39 +44,45 @@
     pub const fn new(
         name: &'static str,
         shape: Shape,
-        meaning: &'static str,
+        description: &'static str,
     ) -> Field {
-        Field { name, shape, meaning }
+        Field { name, shape, description }
     }
 
     /// Returns an integer field; the tuple holds the default, the smallest and
     /// the largest value.
     pub const fn number(
         name: &'static str,
-        (usual, least, most): (u64, u64, u64),
+        (default, min, max): (u64, u64, u64),
         unit: &'static str,
-        meaning: &'static str,
+        description: &'static str,
     ) -> Field {
-        Field::new(name, Shape::Number { usual, least, most, unit }, meaning)
+        Field::new(
+            name,
+            Shape::Number { default, min, max, unit },
+            description,
+        )
     }
 
     fn row(&self) -> String {
-        let (unit, usual, range) = match self.shape {
+        let (unit, default, range) = match self.shape {
             Shape::Name => ("", "required".into(), "1 to 64 bytes".into()),
             Shape::Address => ("", "required".into(), "IP:port".into()),
             Shape::MaybeAddress => ("", "none".into(), "IP:port".into()),
             Shape::Addresses => ("", "none".into(), "list of IP:port".into()),
-            Shape::Number { usual, least, most, unit } => {
-                (unit, usual.to_string(), format!("{least} to {most}"))
+            Shape::Number { default, min, max, unit } => {
+                (unit, default.to_string(), format!("{min} to {max}"))
             }
             Shape::Word(words) => ("", words[0].into(), words.join(", ")),
-            Shape::Flag(usual) => ("", usual.to_string(), "yes or no".into()),
+            Shape::Flag(default) => {
+                ("", default.to_string(), "yes or no".into())
+            }
         };
-        let usual: String = usual;
+        let default: String = default;
         let range: String = range;
         format!(
-            "| `{}` | {unit} | {usual} | {range} | {} |\n",
-            self.name, self.meaning
+            "| `{}` | {unit} | {default} | {range} | {} |\n",
+            self.name, self.description
         )
     }
 }
--- a/crates/shell/src/settings/values.rs
+++ b/crates/shell/src/settings/values.rs
@@ -148,9 +148,9 @@
                 None => fault(Code::BadAddress, "a list of IP:port".into()),
             }
         }
-        Shape::Number { least, most, .. } => match raw.value.as_u64() {
-            Some(n) if (least..=most).contains(&n) => Ok(Checked::Number(n)),
-            _ => fault(Code::OutOfRange, format!("{least} to {most}")),
+        Shape::Number { min, max, .. } => match raw.value.as_u64() {
+            Some(n) if (min..=max).contains(&n) => Ok(Checked::Number(n)),
+            _ => fault(Code::OutOfRange, format!("{min} to {max}")),
         },
         Shape::Word(words) => match raw.value.as_str() {
             Some(s) if words.contains(&s) => Ok(Checked::Text(s.into())),
@@ -179,8 +179,8 @@
         Shape::MaybeAddress | Shape::Addresses => {
             Ok(Checked::Addresses(Vec::new()))
         }
-        Shape::Number { usual, .. } => Ok(Checked::Number(usual)),
+        Shape::Number { default, .. } => Ok(Checked::Number(default)),
         Shape::Word(words) => Ok(Checked::Text(words[0].into())),
-        Shape::Flag(usual) => Ok(Checked::Flag(usual)),
+        Shape::Flag(default) => Ok(Checked::Flag(default)),
     }
 }
