--- a/crates/agent/src/claim.rs
+++ b/crates/agent/src/claim.rs
@@ -108,10 +108,10 @@
                 }
                 Code::GuardUnreachable => {
                     self.settle_key(held, Ran::DidNotRun);
-                    return Err(Failed::new(err).with_back(wait));
+                    return Err(Failed::new(err).with_retry_after(wait));
                 }
                 _ if wait.is_zero() => return Err(Failed::new(err)),
-                _ => return Err(Failed::new(err).with_back(wait)),
+                _ => return Err(Failed::new(err).with_retry_after(wait)),
             }
         }
         Err(guard_unreachable(
@@ -139,5 +139,6 @@
 }
 
 fn guard_unreachable(why: &str) -> Failed {
-    Failed::new(Error::new(Code::GuardUnreachable, why)).with_back(RETRY_AFTER)
+    Failed::new(Error::new(Code::GuardUnreachable, why))
+        .with_retry_after(RETRY_AFTER)
 }
--- a/crates/agent/src/fetch.rs
+++ b/crates/agent/src/fetch.rs
@@ -157,7 +157,7 @@
         Ok(answered) => answered,
         Err(err) => {
             if err.code() == Code::CorruptChunk {
-                agent.node.metrics().spoiled(source_label(source));
+                agent.node.metrics().corrupt_chunk(source_label(source));
             }
             agent.add_note(&format!("source {name} failed: {err}"));
             let code = err.code().to_string();
@@ -187,7 +187,7 @@
         }
         Err(err) => {
             if err.code() == Code::CorruptChunk {
-                agent.node.metrics().spoiled(source_label(source));
+                agent.node.metrics().corrupt_chunk(source_label(source));
             }
             agent.add_note(&format!("source {name} failed: {err}"));
             puller.record_failure(source, now);
--- a/crates/agent/src/poison.rs
+++ b/crates/agent/src/poison.rs
@@ -63,7 +63,7 @@
             }
             Admission::Refused(refusal) => {
                 let err = Error::new(Code::Quarantined, &refusal);
-                Err(Failed::new(err).with_back(refusal.retry_after))
+                Err(Failed::new(err).with_retry_after(refusal.retry_after))
             }
         }
     }
--- a/crates/agent/src/proxy.rs
+++ b/crates/agent/src/proxy.rs
@@ -186,7 +186,7 @@
     }
     if status.as_u16() == 429 || status.as_u16() == 503 {
         let err = Error::new(Code::Overloaded, "the engine is overloaded");
-        return Err(Failed::new(err).with_back(Duration::from_secs(1)));
+        return Err(Failed::new(err).with_retry_after(Duration::from_secs(1)));
     }
     let version = text(headers::ENGINE_VERSION).unwrap_or_default();
     let fence = text(headers::FENCE).unwrap_or_default();
--- a/crates/chunks/src/server.rs
+++ b/crates/chunks/src/server.rs
@@ -9,7 +9,9 @@
 use hyper::{Request, Response, StatusCode};
 use stairhinge::{Code, Digest, Error};
 use stairhinge_shell::Shaper;
-use stairhinge_shell::http::{Body, answer, empty, headers, in_turn, read};
+use stairhinge_shell::http::{
+    Body, answer, empty, full_in_turn, headers, read,
+};
 use tokio::time::Instant;
 
 use crate::holdings::{ChunkLocation, Holdings};
@@ -122,7 +124,7 @@
             }
             Some((index, bytes)) => {
                 let uplink = self.uplink.clone();
-                let mut response = Response::new(in_turn(bytes, uplink));
+                let mut response = Response::new(full_in_turn(bytes, uplink));
                 let index = HeaderValue::from(index);
                 response.headers_mut().insert(headers::CHUNK, index);
                 response
--- a/crates/entry/src/admit.rs
+++ b/crates/entry/src/admit.rs
@@ -62,7 +62,7 @@
             match decision {
                 AdmissionDecision::Start => None,
                 AdmissionDecision::Refuse(err, retry_after) => {
-                    return Err(Failed::new(err).with_back(retry_after));
+                    return Err(Failed::new(err).with_retry_after(retry_after));
                 }
                 AdmissionDecision::Wait(ticket) => {
                     queue.waiters.insert(ticket, tx);
@@ -94,7 +94,7 @@
                 let err = Error::new(Code::DeadlinePassed, why);
                 let retry_after =
                     stairhinge::request::AdmissionControl::MIN_RETRY_AFTER;
-                Err(Failed::new(err).with_back(retry_after))
+                Err(Failed::new(err).with_retry_after(retry_after))
             }
         }
     }
--- a/crates/entry/src/front.rs
+++ b/crates/entry/src/front.rs
@@ -89,7 +89,7 @@
         let Some(fleet) = view.fleet.as_ref() else {
             let why = "the entry has received no configuration yet";
             let err = Error::new(Code::NoBackend, why);
-            return Err(Failed::new(err).with_back(RETRY_AFTER));
+            return Err(Failed::new(err).with_retry_after(RETRY_AFTER));
         };
         let limits = Limits::of(&self.settings.values);
         let body = read(body, limits.body, limits.body_time).await?;
@@ -162,12 +162,12 @@
         };
         let failed = Failed::new(Error::new(code, why)).with_ran(ran);
         if let Some(retry_after) = self.retry_after {
-            return failed.with_back(retry_after);
+            return failed.with_retry_after(retry_after);
         }
         match code.status() {
             503 | 504 => {
                 let jitter = rand::random::<f64>();
-                failed.with_back(RETRY_AFTER.mul_f64(1.0 + jitter))
+                failed.with_retry_after(RETRY_AFTER.mul_f64(1.0 + jitter))
             }
             _ => failed,
         }
--- a/crates/gateway/src/forward/refuse.rs
+++ b/crates/gateway/src/forward/refuse.rs
@@ -22,7 +22,7 @@
         started: Instant,
     ) -> Response<Body> {
         let mut response = failed.response();
-        if let Some(span) = failed.back() {
+        if let Some(span) = failed.retry_after() {
             self.dialect.set_retry_after(response.headers_mut(), span);
         }
         let status = response.status().as_u16();
@@ -54,7 +54,7 @@
 /// which the caller may retry.
 pub(super) fn refused(error: Error, shortage: Shortage) -> Failed {
     let span = shortage.retry_after(rand::rng().random());
-    Failed::new(error).with_back(span)
+    Failed::new(error).with_retry_after(span)
 }
 
 /// Returns the refusal of a quarantined request, with the time after which the
@@ -65,7 +65,7 @@
         return Failed::new(Error::new(Code::LostBackend, refusal));
     }
     Failed::new(Error::new(Code::Quarantined, refusal))
-        .with_back(refusal.retry_after)
+        .with_retry_after(refusal.retry_after)
 }
 
 /// Returns the failure of a request that may have run.
--- a/crates/shell/src/http/body.rs
+++ b/crates/shell/src/http/body.rs
@@ -79,7 +79,7 @@
 /// them. Sent in request order, the first body can be forwarded while the
 /// others still wait. A body whose reader disconnects during the wait uses no
 /// bandwidth.
-pub fn in_turn(bytes: Bytes, link: Shaper) -> Body {
+pub fn full_in_turn(bytes: Bytes, link: Shaper) -> Body {
     let piece = async move {
         link.take_in_turn(bytes.len() as u64).await;
         Ok(Frame::data(bytes))
--- a/crates/shell/src/http/fail.rs
+++ b/crates/shell/src/http/fail.rs
@@ -14,7 +14,7 @@
 pub struct Failed {
     error: Error,
     ran: Ran,
-    back: Option<Duration>,
+    retry_after: Option<Duration>,
 }
 
 impl Failed {
@@ -24,7 +24,7 @@
     /// does not determine it, the response says "may have run".
     pub fn new(error: Error) -> Failed {
         let ran = error.code().ran().unwrap_or(Ran::MayHaveRun);
-        Failed { error, ran, back: None }
+        Failed { error, ran, retry_after: None }
     }
 
     /// Sets whether the request ran.
@@ -36,8 +36,8 @@
 
     /// Sets the time after which the caller may retry (`Retry-After`).
     #[must_use]
-    pub fn with_back(mut self, span: Duration) -> Failed {
-        self.back = Some(span);
+    pub fn with_retry_after(mut self, span: Duration) -> Failed {
+        self.retry_after = Some(span);
         self
     }
 
@@ -52,8 +52,8 @@
     }
 
     /// Returns the time after which the caller may retry, if one is set.
-    pub fn back(&self) -> Option<Duration> {
-        self.back
+    pub fn retry_after(&self) -> Option<Duration> {
+        self.retry_after
     }
 
     /// Returns the JSON body of the response.
@@ -76,7 +76,7 @@
         let map = response.headers_mut();
         map.insert(headers::CODE, HeaderValue::from(code.number()));
         map.insert(headers::RAN, HeaderValue::from_static(self.ran.as_str()));
-        if let Some(span) = self.back {
+        if let Some(span) = self.retry_after {
             // `Retry-After` is in whole seconds. Rounding up avoids a retry
             // before the time is over.
             let secs = span.as_millis().div_ceil(1000).max(1) as u64;
--- a/crates/shell/src/metrics.rs
+++ b/crates/shell/src/metrics.rs
@@ -151,7 +151,7 @@
     }
 
     /// Counts a chunk whose digest was not the declared one.
-    pub fn spoiled(&self, source: &'static str) {
+    pub fn corrupt_chunk(&self, source: &'static str) {
         self.corrupt.get_or_create(&SourceLabel { source }).inc();
     }
 
