--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -30,7 +30,7 @@
 use stairhinge_shell::control::Wire;
 use stairhinge_shell::http::{Client, serve};
 use stairhinge_shell::node::{Identity, Node, wall};
-use stairhinge_shell::{Shutdown, Slot, http};
+use stairhinge_shell::{Listeners, Shutdown, http};
 
 /// Runs an agent until shutdown is requested and all its requests have ended.
 ///
@@ -39,11 +39,11 @@
 /// If the runtime cannot use its listening sockets.
 pub async fn run(
     settings: Settings,
-    slot: Slot,
+    listeners: Listeners,
     wire: Wire,
     shutdown: Shutdown,
 ) -> Result<(), Error> {
-    let (listener, control) = slot.split()?;
+    let (listener, control) = listeners.split()?;
     let held = fence(&settings).await;
     let incarnation = Fence::next_incarnation(wall(), held);
     let identity = Identity::of(&settings.values, Role::Agent);
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -6,7 +6,7 @@
 use stairhinge_agent::{Settings, table};
 use stairhinge_shell::control::Wire;
 use stairhinge_shell::settings::load;
-use stairhinge_shell::{Slot, on_signals, start_logs, to_report};
+use stairhinge_shell::{Listeners, on_signals, start_logs, to_report};
 
 /// The agent of one backend server: fetches weights, orders the engine,
 /// admits requests.
@@ -24,10 +24,10 @@
         .map_err(|f| eyre::eyre!("{}:\n{f}", args.settings.display()))?;
     let settings = Settings::new(values);
     start_logs(&settings.values.text("log"));
-    let slot = Slot::of(&settings.values).map_err(to_report)?;
+    let listeners = Listeners::of(&settings.values).map_err(to_report)?;
     let wire = Wire::start().map_err(to_report)?;
     let shutdown = on_signals()?;
-    stairhinge_agent::run(settings, slot, wire, shutdown)
+    stairhinge_agent::run(settings, listeners, wire, shutdown)
         .await
         .map_err(to_report)
 }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -26,20 +26,20 @@
 use stairhinge_shell::control::{Report, Wire};
 use stairhinge_shell::http::{Limits, serve};
 use stairhinge_shell::node::{Identity, Node, wall};
-use stairhinge_shell::{Shutdown, Slot};
+use stairhinge_shell::{Listeners, Shutdown};
 
 /// Runs an entry until `shutdown` and the end of all its requests.
 ///
 /// # Errors
 ///
-/// If the runtime can't take over the listeners of `slot`.
+/// If the runtime can't take over `listeners`.
 pub async fn run(
     settings: Settings,
-    slot: Slot,
+    listeners: Listeners,
     wire: Wire,
     shutdown: Shutdown,
 ) -> Result<(), Error> {
-    let (listener, control) = slot.split()?;
+    let (listener, control) = listeners.split()?;
     let identity = Identity::of(&settings.values, Role::Entry);
     let node = Node::new(identity, wall(), 0, wire);
     let entry = Entry::new(Arc::clone(&node), &settings);
--- a/crates/local/src/fleet.rs
+++ b/crates/local/src/fleet.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use stairhinge::document::{Instance, Kind, Listing, Presence, Role};
 use stairhinge::{Code, Error};
-use stairhinge_shell::Slot;
+use stairhinge_shell::Listeners;
 use stairhinge_shell::control::{Report, Wire};
 use stairhinge_standins::{
     Engine, Origin, Pack, Platform, Running, Service, start, weights,
@@ -15,7 +15,7 @@
 
 use crate::cell::Cell;
 use crate::kept_engine::KeptEngine;
-use crate::launch::{free_slot, launch};
+use crate::launch::{bind_listeners, launch};
 use crate::plan::{Plan, Version};
 
 /// One instance of a local fleet.
@@ -148,15 +148,15 @@
         platform: SocketAddr,
         more: &str,
     ) -> Result<(), Error> {
-        let slot = Slot::free(HERE)?;
-        let (http, control) = slot.addresses()?;
+        let listeners = Listeners::free(HERE)?;
+        let (http, control) = listeners.addresses()?;
         let hall = self.plan.hall(hall);
         let settings = format!(
             "name: {name}\nhall: {hall}\nhttp: {http}\ncontrol: {control}\n\
              platform: {platform}\nbeat_ms: {}\nstep_ms: {}\n{more}\n",
             self.plan.beat_ms, self.plan.step_ms
         );
-        let cell = launch(name, role, &settings, slot)?;
+        let cell = launch(name, role, &settings, listeners)?;
         let name: Arc<str> = Arc::from(name);
         self.listing.instances.push(Instance {
             name: Arc::clone(&name),
@@ -324,8 +324,8 @@
     pub fn restart(&mut self, name: &str) -> Result<(), Error> {
         let member = self.member(name);
         let settings = member.settings.clone();
-        let slot = free_slot(member.role, &settings)?;
-        member.cell = Some(launch(name, member.role, &settings, slot)?);
+        let listeners = bind_listeners(member.role, &settings)?;
+        member.cell = Some(launch(name, member.role, &settings, listeners)?);
         Ok(())
     }
 
--- a/crates/shell/src/lib.rs
+++ b/crates/shell/src/lib.rs
@@ -18,6 +18,7 @@
 pub mod settings;
 
 mod link;
+mod listeners;
 mod live_settings;
 mod logs;
 mod metrics;
@@ -26,9 +27,9 @@
 mod refused;
 mod settings_watch;
 mod shutdown;
-mod slot;
 
 pub use self::link::LinkMbps;
+pub use self::listeners::Listeners;
 pub use self::live_settings::{LiveSettings, Settings};
 pub use self::logs::{start as start_logs, to_report};
 pub use self::metrics::Metrics;
@@ -39,4 +40,3 @@
 pub use self::shutdown::{
     HangUps, Shutdown, Stopper, on_signals, stop_on_signals,
 };
-pub use self::slot::Slot;
--- a/crates/shell/src/slot.rs
+++ b/crates/shell/src/listeners.rs
@@ -11,19 +11,19 @@
 /// The sockets also serve as a lock between the old and the new process of an
 /// instance: the new one cannot bind them while the old one holds them.
 #[derive(Debug)]
-pub struct Slot {
+pub struct Listeners {
     pub(crate) http: TcpListener,
     pub(crate) control: TcpListener,
 }
 
-impl Slot {
+impl Listeners {
     /// Binds the addresses that a settings file configures.
     ///
     /// # Errors
     ///
     /// [`Code::CannotBind`] if another process holds one of them.
-    pub fn of(values: &Values) -> Result<Slot, Error> {
-        Ok(Slot {
+    pub fn of(values: &Values) -> Result<Listeners, Error> {
+        Ok(Listeners {
             http: bind(values.address("http"))?,
             control: bind(values.address("control"))?,
         })
@@ -34,9 +34,9 @@
     /// # Errors
     ///
     /// [`Code::CannotBind`] if no port is free.
-    pub fn free(ip: IpAddr) -> Result<Slot, Error> {
+    pub fn free(ip: IpAddr) -> Result<Listeners, Error> {
         let any = SocketAddr::new(ip, 0);
-        Ok(Slot { http: bind(any)?, control: bind(any)? })
+        Ok(Listeners { http: bind(any)?, control: bind(any)? })
     }
 
     /// Returns the address for requests and the one for control calls.
