--- a/crates/agent/src/poison.rs
+++ b/crates/agent/src/poison.rs
@@ -12,7 +12,7 @@
 use stairhinge::poison::{Admission, Fingerprint, PoisonRecord, Suspicion};
 use stairhinge::{Code, Error};
 use stairhinge_shell::http::{Failed, headers};
-use stairhinge_shell::is_refused;
+use stairhinge_shell::is_connection_refused;
 
 use crate::Agent;
 
@@ -72,7 +72,7 @@
     /// without a complete answer.
     pub(crate) async fn check_backend(&self, suspect: Option<Suspect>) {
         let Some(suspect) = suspect else { return };
-        if is_refused(self.settings.backend, PROBE_TIMEOUT).await {
+        if is_connection_refused(self.settings.backend, PROBE_TIMEOUT).await {
             self.node.ended_under(suspect.request, suspect.sent);
         }
     }
--- a/crates/agent/src/settings.rs
+++ b/crates/agent/src/settings.rs
@@ -142,7 +142,7 @@
         Settings {
             backend: values.address("backend"),
             plain: values.flag("plain"),
-            origin: values.maybe("origin"),
+            origin: values.optional_address("origin"),
             name: values.text("name"),
             values,
         }
--- a/crates/gateway/src/connect.rs
+++ b/crates/gateway/src/connect.rs
@@ -5,7 +5,7 @@
 
 use hyper_util::rt::TokioIo;
 use socket2::SockRef;
-use stairhinge_shell::is_refused;
+use stairhinge_shell::is_connection_refused;
 use tokio::net::TcpStream;
 
 /// The timeout for establishing a connection: longer than a round trip to any
@@ -40,5 +40,5 @@
 /// Returns whether the process at `addr` has ended, which is the case if it
 /// refuses connections.
 pub(crate) async fn has_ended(addr: SocketAddr) -> bool {
-    is_refused(addr, CONNECT_TIMEOUT).await
+    is_connection_refused(addr, CONNECT_TIMEOUT).await
 }
--- a/crates/shell/src/lib.rs
+++ b/crates/shell/src/lib.rs
@@ -35,7 +35,7 @@
 pub use self::metrics::Metrics;
 pub use self::rate::Shaper;
 pub use self::read_settings::read_settings;
-pub use self::refused::is_refused;
+pub use self::refused::is_connection_refused;
 pub use self::settings_watch::{SettingsSource, SettingsWatch};
 pub use self::shutdown::{
     HangUps, Shutdown, Stopper, on_signals, stop_on_signals,
--- a/crates/shell/src/refused.rs
+++ b/crates/shell/src/refused.rs
@@ -12,7 +12,10 @@
 /// A running process accepts the connection. An instance that is powered off
 /// or unreachable does not respond `within` the time limit; the result is
 /// then false, as the state of the process is unknown.
-pub async fn is_refused(addr: SocketAddr, within: Duration) -> bool {
+pub async fn is_connection_refused(
+    addr: SocketAddr,
+    within: Duration,
+) -> bool {
     let opened = tokio::time::timeout(within, TcpStream::connect(addr));
     let refused = |e: Error| e.kind() == ErrorKind::ConnectionRefused;
     opened.await.is_ok_and(|opened| opened.is_err_and(refused))
--- a/crates/shell/src/settings/values.rs
+++ b/crates/shell/src/settings/values.rs
@@ -106,13 +106,13 @@
     }
 
     /// Returns the value of an optional address field.
-    pub fn maybe(&self, name: &str) -> Option<SocketAddr> {
+    pub fn optional_address(&self, name: &str) -> Option<SocketAddr> {
         self.addresses(name).first().copied()
     }
 
     /// Returns the value of a required address field.
     pub fn address(&self, name: &str) -> SocketAddr {
-        match self.maybe(name) {
+        match self.optional_address(name) {
             Some(addr) => addr,
             None => panic!("no required address field {name}"),
         }
