--- a/crates/shell/tests/follow.rs
+++ b/crates/shell/tests/follow.rs
@@ -179,7 +179,7 @@
     assert_eq!(
         routes.calls.load(Ordering::Relaxed),
         0,
-        "another entry had read already"
+        "the platform was called in spite of a reader"
     );
     // An entry that finds no other one reads eventually.
     let (routes, _reader, (facts, _stopper)) = start(true);
