--- a/crates/shell/src/lib.rs
+++ b/crates/shell/src/lib.rs
@@ -1,13 +1,13 @@
-//! The I/O around stairhinge's decisions, shared by all programs.
+//! The I/O layer that all stairhinge programs share.
 //!
 //! * [`settings`] reads and checks settings files.
 //! * [`http`] serves and calls HTTP within limits.
 //! * [`control`] carries calls between processes over Cap'n Proto RPC.
 //! * [`directory`] reads what a platform publishes.
-//! * [`decisions`] logs what was decided and why.
-//! * [`node`] keeps what one process knows: documents, peers, its own state.
+//! * [`decisions`] writes the log of decisions with their causes.
+//! * [`node`] holds the state of one process: documents, peers, its own state.
 //!
-//! Nothing here decides: what to do is asked of the `stairhinge` crate.
+//! This crate contains no decision logic: that is in the `stairhinge` crate.
 
 pub mod control;
 pub mod decisions;
@@ -18,6 +18,7 @@
 pub mod settings;
 
 mod link;
+mod listeners;
 mod live_settings;
 mod logs;
 mod metrics;
@@ -26,17 +27,16 @@
 mod refused;
 mod settings_watch;
 mod shutdown;
-mod slot;
 
 pub use self::link::LinkMbps;
+pub use self::listeners::Listeners;
 pub use self::live_settings::{LiveSettings, Settings};
 pub use self::logs::{start as start_logs, to_report};
 pub use self::metrics::Metrics;
 pub use self::rate::Shaper;
 pub use self::read_settings::read_settings;
-pub use self::refused::is_refused;
+pub use self::refused::is_connection_refused;
 pub use self::settings_watch::{SettingsSource, SettingsWatch};
 pub use self::shutdown::{
     HangUps, Shutdown, Stopper, on_signals, stop_on_signals,
 };
-pub use self::slot::Slot;
--- a/crates/shell/src/settings/field.rs
+++ b/crates/shell/src/settings/field.rs
@@ -1,32 +1,32 @@
-//! One field of a settings file.
+//! The fields of settings files and their documentation.
 
 use std::fmt::Write as _;
 
-/// What a field's value looks like, with its usual value.
+/// The type of a field, with its range and default.
 #[derive(Clone, Copy, Debug)]
 pub enum Shape {
-    /// A name; must be given.
+    /// A required name of 1 to 64 bytes.
     Name,
-    /// An IP address with a port; must be given.
+    /// A required IP address with a port.
     Address,
-    /// An IP address with a port, or nothing.
+    /// An optional IP address with a port.
     MaybeAddress,
-    /// A list of IP addresses with ports; usually empty.
+    /// A list of IP addresses with ports, empty by default.
     Addresses,
-    /// A whole number with its usual value and range.
+    /// An integer with a default and a range.
     Number {
-        /// What it is if the file does not say.
-        usual: u64,
-        /// The least allowed.
-        least: u64,
-        /// The most allowed.
-        most: u64,
-        /// The unit.
+        /// The default.
+        default: u64,
+        /// The smallest allowed value.
+        min: u64,
+        /// The largest allowed value.
+        max: u64,
+        /// The unit, as documented.
         unit: &'static str,
     },
-    /// One of some words, the usual one first.
+    /// One of several words, of which the first is the default.
     Word(&'static [&'static str]),
-    /// Yes or no, with the usual value.
+    /// A boolean with a default.
     Flag(bool),
 }
 
@@ -35,51 +35,59 @@
 pub struct Field {
     pub(super) name: &'static str,
     pub(super) shape: Shape,
-    meaning: &'static str,
+    description: &'static str,
 }
 
 impl Field {
-    /// Returns a field with a name, a shape and one sentence of meaning.
+    /// Returns a field with its name, its shape and a description of one
+    /// sentence.
     pub const fn new(
         name: &'static str,
         shape: Shape,
-        meaning: &'static str,
+        description: &'static str,
     ) -> Field {
-        Field { name, shape, meaning }
+        Field { name, shape, description }
     }
 
-    /// Returns a numeric field.
+    /// Returns an integer field; the tuple holds the default, the smallest and
+    /// the largest value.
     pub const fn number(
         name: &'static str,
-        (usual, least, most): (u64, u64, u64),
+        (default, min, max): (u64, u64, u64),
         unit: &'static str,
-        meaning: &'static str,
+        description: &'static str,
     ) -> Field {
-        Field::new(name, Shape::Number { usual, least, most, unit }, meaning)
+        Field::new(
+            name,
+            Shape::Number { default, min, max, unit },
+            description,
+        )
     }
 
     fn row(&self) -> String {
-        let (unit, usual, range) = match self.shape {
+        let (unit, default, range) = match self.shape {
             Shape::Name => ("", "required".into(), "1 to 64 bytes".into()),
             Shape::Address => ("", "required".into(), "IP:port".into()),
             Shape::MaybeAddress => ("", "none".into(), "IP:port".into()),
             Shape::Addresses => ("", "none".into(), "list of IP:port".into()),
-            Shape::Number { usual, least, most, unit } => {
-                (unit, usual.to_string(), format!("{least} to {most}"))
+            Shape::Number { default, min, max, unit } => {
+                (unit, default.to_string(), format!("{min} to {max}"))
             }
             Shape::Word(words) => ("", words[0].into(), words.join(", ")),
-            Shape::Flag(usual) => ("", usual.to_string(), "yes or no".into()),
+            Shape::Flag(default) => {
+                ("", default.to_string(), "yes or no".into())
+            }
         };
-        let usual: String = usual;
+        let default: String = default;
         let range: String = range;
         format!(
-            "| `{}` | {unit} | {usual} | {range} | {} |\n",
-            self.name, self.meaning
+            "| `{}` | {unit} | {default} | {range} | {} |\n",
+            self.name, self.description
         )
     }
 }
 
-/// Returns the fields that every program of the system has.
+/// Returns the fields that the settings of all programs have in common.
 pub const fn common() -> [Field; 16] {
     [
         Field::new("name", Shape::Name, "The instance's name."),
@@ -159,7 +167,7 @@
     ]
 }
 
-/// Renders the rows of `docs/SETTINGS.md` for a table.
+/// Renders a table of fields in Markdown, for `docs/SETTINGS.md`.
 pub fn document(table: &[Field]) -> String {
     let mut out = String::from(
         "| field | unit | usual | range | meaning |\n\
