--- a/crates/shell/src/directory.rs
+++ b/crates/shell/src/directory.rs
@@ -1,10 +1,11 @@
-//! What a platform publishes, and what a process believes of it.
+//! The records that a platform publishes, and a process's view of them.
 //!
-//! A [`Directory`] reads the platform, a [`CountedDirectory`] tells how often.
-//! [`follow`] keeps reading it, by waiting watches, and hands what it learns
-//! to [`Facts`], which only go forward. [`Share`] hands it on to others of the
-//! hall, so that few have to read. Nothing here knows how a platform spells
-//! its records.
+//! A [`Directory`] reads the platform; a [`CountedDirectory`] also counts the
+//! calls. [`follow`] keeps a process up to date with long-polling watches and
+//! updates [`Facts`], which never go back to an older revision. [`Share`]
+//! serves the view to other processes of the data hall, so that few of them
+//! have to call the platform. This module is independent of the platform's
+//! encoding of its records.
 
 mod counted;
 mod facts;
--- a/crates/shell/src/directory/follow.rs
+++ b/crates/shell/src/directory/follow.rs
@@ -1,4 +1,4 @@
-//! Keeping up with what is published.
+//! Keeps a process up to date with the platform.
 
 mod read;
 mod start;
@@ -16,41 +16,45 @@
 use crate::Shutdown;
 use crate::decisions::Decision;
 
-/// How a process follows one collection.
+/// Settings for following one collection.
 #[derive(Clone)]
 pub struct Follow {
-    /// What it follows.
+    /// The collection to follow.
     pub collection: Collection,
-    /// How long a watch waits at the platform.
+    /// How long the platform may hold a watch open.
     pub wait: Duration,
-    /// The least span between two calls, which bounds their number.
+    /// The minimum interval between two calls to the platform, which limits
+    /// their number.
     pub pace: Duration,
-    /// How long after a failure absences from the list are not believed.
+    /// How long after a failure a replica that is missing from the list is
+    /// kept.
     pub doubt: Duration,
-    /// The least span between two readings while routes are published in
+    /// The minimum interval between two reads while routes are published in
     /// quick succession.
     pub burst_pace: Duration,
-    /// How long after its start nobody counts on the process.
+    /// How long after its start no other process depends on this one.
     pub settling: Duration,
-    /// Whether the whole platform starts for the first time: nobody serves
-    /// callers yet.
+    /// Whether the whole platform starts for the first time, so that no
+    /// process serves callers yet.
     pub first_start: bool,
-    /// Who else of the hall reads, if that is shared.
+    /// How reads are shared within the data hall, if they are.
     pub sharing: Option<Sharing>,
 }
 
-/// The least span between two questions to the reader of the hall.
-const SHARED_PACE: Duration = Duration::from_millis(20);
+/// The minimum interval between two questions to the reader of the data hall.
+const ASK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The least span between two questions while the reader has only old news.
-/// Those wait at it for up to an eighth of the bound that they serve.
-const AWAITED_PACE: Duration = Duration::from_millis(200);
+/// The minimum interval between two questions while the reader's data is too
+/// old. The reader holds such a question for up to an eighth of
+/// [`Sharing::bound`].
+const PENDING_ASK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The first pause after a failed call.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
+/// The delay before the first retry of a failed call; it doubles with each
+/// further failure.
+const FIRST_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// The longest pause after failed calls.
-const LONGEST_PAUSE: Duration = Duration::from_millis(800);
+/// The maximum delay before a retry.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(800);
 
 /// Follows one collection until the process stops.
 pub async fn follow(
@@ -68,7 +72,7 @@
         answered: None,
         failed: None,
         lost_since: None,
-        pause: FIRST_PAUSE,
+        retry_delay: FIRST_RETRY_DELAY,
         burst: false,
         rejoined: false,
         began: Instant::now(),
@@ -79,68 +83,69 @@
     }
 }
 
-/// What asking the hall brought.
-enum Asked {
-    /// What is published, which is taken in.
-    Told,
-    /// Nothing yet, and the platform is left to others.
-    Awaited,
-    /// Nothing: the platform is to be read.
-    Nobody,
+/// The outcome of asking the other processes of the data hall.
+enum HallOutcome {
+    /// An answer arrived and was applied.
+    Updated,
+    /// No answer yet; another process reads the platform for this one.
+    Pending,
+    /// No answer; this process has to read the platform itself.
+    ReadPlatform,
 }
 
 struct Follower {
     directory: Arc<dyn Directory>,
     facts: Arc<Facts>,
     follow: Follow,
-    /// The platform's revision up to which changes are known.
+    /// The platform revision up to which all changes are known.
     at: Option<u64>,
-    /// When all changes up to `at` were known.
+    /// The time at which all changes up to `at` were known.
     synced: Option<Time>,
-    /// When a watch of the platform was last answered: it brings all that
-    /// there is, also after a long wait.
+    /// When the platform last answered a watch. The answer contains all
+    /// changes up to then, however long the watch was held.
     answered: Option<Time>,
     failed: Option<Instant>,
     lost_since: Option<Instant>,
-    pause: Duration,
-    /// Whether routes come in quick succession.
+    retry_delay: Duration,
+    /// Whether routes are being published in quick succession.
     burst: bool,
-    /// Whether all that is in force was read after a time out of touch, and
-    /// nothing was heard since, from the platform or the hall.
+    /// Whether the current state was read in full after an interruption, with
+    /// no answer since from the platform or the data hall.
     rejoined: bool,
     began: Instant,
 }
 
 impl Follower {
     async fn run(&mut self) {
-        self.hold_back().await;
+        self.delay_first_read().await;
         loop {
             let called = Instant::now();
             match self.ask_hall().await {
-                Asked::Told => {
-                    self.succeeded();
-                    self.rest(called, SHARED_PACE).await;
+                HallOutcome::Updated => {
+                    self.record_success();
+                    self.rest(called, ASK_INTERVAL).await;
                     continue;
                 }
-                Asked::Awaited => {
-                    self.rest(called, AWAITED_PACE).await;
+                HallOutcome::Pending => {
+                    self.rest(called, PENDING_ASK_INTERVAL).await;
                     continue;
                 }
-                Asked::Nobody => {}
+                HallOutcome::ReadPlatform => {}
             }
             match self.read().await {
-                Ok(()) => self.succeeded(),
+                Ok(()) => self.record_success(),
                 Err(error) => {
-                    self.fail(&error);
-                    tokio::time::sleep(self.pause).await;
-                    self.pause = (self.pause * 2).min(LONGEST_PAUSE);
+                    self.record_failure(&error);
+                    tokio::time::sleep(self.retry_delay).await;
+                    self.retry_delay =
+                        (self.retry_delay * 2).min(MAX_RETRY_DELAY);
                 }
             }
             self.rest(called, self.pace()).await;
         }
     }
 
-    /// Waits until a span has passed since a call.
+    /// Sleeps until `pace` has passed since `called`.
     async fn rest(&self, called: Instant, pace: Duration) {
         let rest = pace.saturating_sub(called.elapsed());
         if !rest.is_zero() {
@@ -148,17 +153,17 @@
         }
     }
 
-    /// Reads the platform, and asks others of the hall for news beside it: a
-    /// platform that is silent holds a call up for seconds, and
-    /// another process may reach it sooner.
+    /// Reads the platform and asks other processes of the data hall at the
+    /// same time: a platform that doesn't respond holds up a call for
+    /// seconds, and another process may reach it sooner.
     async fn read(&mut self) -> Result<(), Error> {
         let Some(sharing) = self.follow.sharing.clone() else {
-            return self.step().await;
+            return self.read_platform().await;
         };
         let called = self.facts.now();
         let news = sharing.reader.news(self.question(&sharing));
         let answer = tokio::select! {
-            read = self.step() => return read,
+            read = self.read_platform() => return read,
             answer = news => answer,
         };
         self.take(answer, called, &sharing).await
@@ -182,29 +187,28 @@
         view.evacuations.all().map(|(hall, _)| Arc::clone(hall)).collect()
     }
 
-    /// Asks the reader of the hall for what is published.
-    async fn ask_hall(&mut self) -> Asked {
+    /// Asks the reader of the data hall for changes.
+    async fn ask_hall(&mut self) -> HallOutcome {
         let Some(sharing) = self.follow.sharing.clone() else {
-            return Asked::Nobody;
+            return HallOutcome::ReadPlatform;
         };
         let called = self.facts.now();
         let question = self.question(&sharing);
         let answer = match sharing.reader.ask(question).await {
             HallNews::Told(answer) => answer,
-            HallNews::Awaited => return Asked::Awaited,
-            HallNews::Nobody => return Asked::Nobody,
+            HallNews::Awaited => return HallOutcome::Pending,
+            HallNews::Nobody => return HallOutcome::ReadPlatform,
         };
         match self.take(answer, called, &sharing).await {
-            Ok(()) => Asked::Told,
+            Ok(()) => HallOutcome::Updated,
             Err(error) => {
                 self.facts.refuse(&error);
-                Asked::Nobody
+                HallOutcome::ReadPlatform
             }
         }
     }
 
-    /// Takes in what another process answered, and the routes that it leads
-    /// to.
+    /// Applies the answer of another process, fetching its routes first.
     async fn take(
         &mut self,
         answer: ReaderAnswer,
@@ -215,7 +219,7 @@
         self.take_shared(answer.shared, called, &sharing.share)
     }
 
-    /// Takes in what the reader of the hall answered.
+    /// Applies everything in an answer except its routes.
     fn take_shared(
         &mut self,
         answer: SharedAnswer,
@@ -250,11 +254,16 @@
             }
         }
         self.burst = false;
-        self.reach(answer.at, before(called, answer.age_ms));
+        self.record_sync(answer.at, before(called, answer.age_ms));
         Ok(())
     }
 
-    /// Takes in the routes that an answer leads to, if there are any.
+    /// Fetches or patches the routes of an answer, if it has any, and applies
+    /// them.
+    ///
+    /// # Errors
+    ///
+    /// If they can't be read, or are older than the answer says.
     async fn take_routes(
         &self,
         answer: &ReaderAnswer,
@@ -282,15 +291,15 @@
         self.facts.learn(record, source, None);
         let (known, told) = (self.facts.revision(), answer.shared.revision);
         if known < told {
-            // Going on from where the reader is would skip that revision.
+            // Continuing from the reader's position would skip that revision.
             let why = format!("routes of revision {known}, not {told}");
             return Err(Error::new(Code::PeerLost, why));
         }
         Ok(())
     }
 
-    /// Notes that all changes up to a revision are known since a time.
-    fn reach(&mut self, at: u64, synced: Time) {
+    /// Records that all changes up to revision `at` were known at `synced`.
+    fn record_sync(&mut self, at: u64, synced: Time) {
         self.at = Some(at);
         self.synced = Some(synced);
         self.rejoined = false;
@@ -315,20 +324,21 @@
     }
 
     /// Whether the whole platform starts for the first time and this process
-    /// knows of no other yet. If each process read by itself, the calls would
-    /// grow with their number.
+    /// hasn't found another one yet. If every process read the platform, the
+    /// number of calls would grow with the number of processes.
     fn waits_for_others(&self) -> bool {
         let sharing = self.follow.sharing.as_ref();
         self.follow.first_start && sharing.is_some_and(|s| s.reader.is_alone())
     }
 
-    /// Whether the platform has been well long enough for absences to count.
+    /// Whether the last failure is long enough ago to treat a replica that is
+    /// missing from the list as gone.
     fn reliable(&self) -> bool {
         self.failed.is_none_or(|at| at.elapsed() > self.follow.doubt)
     }
 
-    fn succeeded(&mut self) {
-        self.pause = FIRST_PAUSE;
+    fn record_success(&mut self) {
+        self.retry_delay = FIRST_RETRY_DELAY;
         if let Some(since) = self.lost_since.take() {
             self.facts.log().write(&Decision::DependencyRegained {
                 dependency: self.follow.collection.name(),
@@ -343,7 +353,7 @@
         }
     }
 
-    fn fail(&mut self, error: &Error) {
+    fn record_failure(&mut self, error: &Error) {
         self.failed = Some(Instant::now());
         if let Some(sharing) = &self.follow.sharing {
             let now = self.facts.now();
@@ -360,7 +370,7 @@
     }
 }
 
-/// Returns the time so many milliseconds before another.
+/// Returns the time `ms` milliseconds before `time`.
 fn before(time: Time, ms: u64) -> Time {
     Time::from_millis(time.as_millis().saturating_sub(ms))
 }
--- a/crates/shell/src/directory/follow/read.rs
+++ b/crates/shell/src/directory/follow/read.rs
@@ -1,5 +1,5 @@
-//! Reading the platform: a list, then watches, and as little as possible of
-//! what is published in quick succession.
+//! Reads the platform: a list first, then watches. Skips intermediate
+//! revisions of routes that are published in quick succession.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -15,15 +15,16 @@
     Watched,
 };
 
-/// Changes in one answer from which on routes come in quick succession.
-const BURST: usize = 2;
+/// The number of routes revisions in one answer from which on they count as
+/// published in quick succession.
+const BURST_REVISIONS: usize = 2;
 
-/// Calls that may be out at a time to a platform that has failed.
-const MOST_PROBES: usize = 4;
+/// The maximum number of concurrent probes of a platform that has failed.
+const MAX_PROBES: usize = 4;
 
 impl Follower {
-    /// Calls the platform once, and takes in what it answers.
-    pub(super) async fn step(&mut self) -> Result<(), Error> {
+    /// Reads the platform once and applies the answer.
+    pub(super) async fn read_platform(&mut self) -> Result<(), Error> {
         let Some(after) = self.at else { return self.list().await };
         if self.lost_since.is_some()
             && let Some(sharing) = &self.follow.sharing
@@ -44,8 +45,9 @@
             Watched::Forgotten => self.forget(),
             Watched::Changes(changes, at) => {
                 let reliable = self.reliable();
-                let routes = changes.iter().filter(|c| is_routes(c)).count();
-                self.burst = routes >= BURST;
+                let routes =
+                    changes.iter().filter(|c| is_routes_change(c)).count();
+                self.burst = routes >= BURST_REVISIONS;
                 if let Some(sharing) = &self.follow.sharing {
                     sharing.share.note(&changes, at);
                 }
@@ -55,15 +57,16 @@
                 for change in changes {
                     self.facts.apply(change, source, reliable, self.synced);
                 }
-                self.reach(at, called);
+                self.record_sync(at, called);
                 self.answered = Some(self.facts.now());
             }
         }
         Ok(())
     }
 
-    /// Asks a platform that has failed for what is small, at a pace, until it
-    /// answers; beside calls that have no answer yet.
+    /// Probes a platform that has failed with small requests until one is
+    /// answered. Starts a probe every `pace`, also while earlier ones are
+    /// pending.
     async fn probe(&mut self, after: u64, pace: Duration) {
         let directory = Arc::clone(&self.directory);
         let collection = match self.follow.collection {
@@ -76,9 +79,9 @@
             tokio::select! {
                 Some(answer) = calls.next() => match answer {
                     Ok(_) => return,
-                    Err(error) => self.fail(&error),
+                    Err(error) => self.record_failure(&error),
                 },
-                _ = timer.tick(), if calls.len() < MOST_PROBES => {
+                _ = timer.tick(), if calls.len() < MAX_PROBES => {
                     let none = Duration::ZERO;
                     calls.push(directory.watch(collection, after, none));
                 }
@@ -86,12 +89,12 @@
         }
     }
 
-    /// Returns whether this process has known nothing new for so long that
-    /// several revisions of the routes may have been published since.
+    /// Returns whether the last answer is so long ago that several revisions
+    /// of the routes may have been published since.
     ///
-    /// Right after it has read them all it is not, however long that took:
-    /// over a link on which a document takes that long it would do nothing
-    /// else.
+    /// Returns `false` right after a full read, however long it took: on a
+    /// slow link, where a document takes that long, the process would
+    /// otherwise repeat full reads forever.
     fn out_of_touch(&self) -> bool {
         let declarations = Collection::Declarations;
         if self.rejoined || self.follow.collection != declarations {
@@ -103,13 +106,15 @@
         age.is_some_and(|age| age > sharing.most_age())
     }
 
-    /// Reads the routes in force, and what versions were named meanwhile.
+    /// Reads the current routes and evacuations, and the target versions set
+    /// since revision `after`.
     ///
-    /// A watch from the last revision known would bring each one since,
-    /// whole: the longer a process is behind, the more it would have to read
-    /// before it is not. Five documents of 350 KB took 2.2 s. A list of all
-    /// would have one document too, but date a version back to the last
-    /// contact, and replicas would leave the old one that much too early.
+    /// A watch from the last known revision would return every later document
+    /// in full, so the time to catch up would grow with the interruption:
+    /// five documents of 350 KB took 2.2 s. A list of all declarations has
+    /// just one document, but would date a new target version back to the
+    /// last contact, and replicas would leave the old version that much too
+    /// early.
     async fn rejoin(&mut self, after: u64) -> Result<(), Error> {
         let called = self.facts.now();
         let versions = Collection::Targets;
@@ -131,23 +136,26 @@
         let at = listing.at.min(named_at).min(evacuated.at);
         self.take_list(listing, called);
         self.take_evacuations(&evacuated);
-        self.reach(at, called);
+        self.record_sync(at, called);
         self.rejoined = true;
         Ok(())
     }
 
-    /// Begins anew with a list: the platform has forgotten what came since
-    /// the last revision known.
+    /// Makes the next read a full list, since the platform no longer has the
+    /// changes after the last known revision.
     fn forget(&mut self) {
         self.at = None;
-        // What went unseen may have been the loss of history itself.
+        // The platform may have lost its history, so this counts as a
+        // failure.
         self.failed = Some(Instant::now());
     }
 
-    /// Reads all that is in force, at a pace, until nothing new comes.
+    /// Lists the collection, after a pause of `burst_pace`; the burst is over
+    /// once a list brings no newer routes.
     ///
-    /// A watch brings every revision whole. Where many come in quick
-    /// succession, only the newest is worth a poor link's bytes.
+    /// A watch returns every revision in full. While many are published in
+    /// quick succession, reading only the newest saves bandwidth on slow
+    /// links.
     async fn catch_up(&mut self) -> Result<(), Error> {
         tokio::time::sleep(self.follow.burst_pace).await;
         let before = self.facts.revision();
@@ -173,14 +181,15 @@
             }
             self.facts.replace_replicas(replicas, reliable);
         }
-        self.reach(at, called);
+        self.record_sync(at, called);
         Ok(())
     }
 
-    /// Takes in the declarations of a list that was asked for at a time, and
+    /// Applies the routes and targets of a list requested at `called`, and
     /// returns its replicas.
     fn take_list(&self, listing: Listing, called: Time) -> Vec<Replica> {
-        let routes = listing.records.iter().filter(|r| is_document(r)).count();
+        let routes =
+            listing.records.iter().filter(|r| is_routes_record(r)).count();
         let took = self.facts.now().since(called);
         let source = Source::platform("list", took, routes);
         self.facts.note_documents(routes);
@@ -196,7 +205,7 @@
         replicas
     }
 
-    /// Takes in the evacuations of a list that has all of them.
+    /// Applies the evacuations of a list that contains all of them.
     fn take_evacuations(&self, listing: &Listing) {
         let now = self.facts.now();
         let since = self.synced.unwrap_or(Time::from_millis(0));
@@ -209,15 +218,16 @@
         self.facts.replace_evacuations(&told, "list");
     }
 
-    /// Returns what is left of the time in which nobody counts on a process
-    /// that has just started. All start at once with the platform, and know
-    /// nobody until the first engines are listed.
+    /// Returns how much is left of the time after the start in which no other
+    /// process depends on this one. When the platform first starts, all
+    /// processes start at once, and can't discover each other until the first
+    /// engines are listed.
     pub(super) fn settling(&self) -> Duration {
         self.follow.settling.saturating_sub(self.began.elapsed())
     }
 
-    /// Returns how long a watch waits: not for long after a failure, since
-    /// doubts have to be settled in time.
+    /// Returns how long a watch waits. The wait is short after a failure, so
+    /// that replicas kept because of it are dropped in time.
     fn wait(&self) -> Duration {
         let wait = match &self.follow.sharing {
             Some(sharing) if sharing.reader.is_alone() => {
@@ -235,10 +245,10 @@
     }
 }
 
-const fn is_routes(change: &Change) -> bool {
+const fn is_routes_change(change: &Change) -> bool {
     matches!(change, Change::Set(Record::Routes(..)))
 }
 
-const fn is_document(record: &Result<Record, Error>) -> bool {
+const fn is_routes_record(record: &Result<Record, Error>) -> bool {
     matches!(record, Ok(Record::Routes(..)))
 }
--- a/crates/shell/src/directory/follow/start.rs
+++ b/crates/shell/src/directory/follow/start.rs
@@ -1,24 +1,24 @@
-//! When a process that has just started first reads routes.
+//! Delays the first read of routes by a process that has just started.
 
 use std::time::{Duration, Instant};
 
 use rand::RngExt as _;
 use stairhinge::direct::FirstReadDelay;
 
-use super::{Asked, Follower};
+use super::{Follower, HallOutcome};
 use crate::directory::Collection;
 
-/// How long entries may take to find each other where all start at once, in
-/// spans of settling.
-const FOUND: f64 = 1.5;
+/// How long entries that all start at once may take to discover each other,
+/// as a multiple of [`Follow::settling`](super::Follow::settling).
+const DISCOVERY_FACTOR: f64 = 1.5;
 
-/// How often is looked whether the hold is over.
-const LOOK: Duration = Duration::from_millis(20);
+/// The interval between checks for the end of the delay.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 impl Follower {
-    /// Waits with the first reading of routes until others can be asked, or
-    /// until it is this process's turn to read.
-    pub(super) async fn hold_back(&mut self) {
+    /// Delays the first read of routes until another process has answered, or
+    /// until this process is due to read the platform.
+    pub(super) async fn delay_first_read(&mut self) {
         if self.follow.collection != Collection::Declarations {
             return;
         }
@@ -27,17 +27,18 @@
         let delay = FirstReadDelay::new(rand::rng().random());
         loop {
             if sharing.reader.leads()
-                || matches!(self.ask_hall().await, Asked::Told)
+                || matches!(self.ask_hall().await, HallOutcome::Updated)
             {
                 return;
             }
             let listed = self.facts.view().replicas.len();
-            let found = begun.elapsed() >= self.follow.settling.mul_f64(FOUND)
+            let found = begun.elapsed()
+                >= self.follow.settling.mul_f64(DISCOVERY_FACTOR)
                 || !self.waits_for_others();
             if found && begun.elapsed() >= delay.for_entry(listed) {
                 return;
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
