--- a/crates/shell/src/directory/follow.rs
+++ b/crates/shell/src/directory/follow.rs
@@ -280,7 +280,10 @@
                 let view = self.facts.view();
                 let old = std::str::from_utf8(&view.document);
                 let old = old.map_err(|e| {
-                    Error::new(Code::OtherDigest, format_args!("routes: {e}"))
+                    Error::new(
+                        Code::OtherDigest,
+                        format_args!("held routes document: {e}"),
+                    )
                 })?;
                 Bytes::from(patch.apply(old)?)
             }
@@ -292,7 +295,8 @@
         let (known, told) = (self.facts.revision(), answer.shared.revision);
         if known < told {
             // Continuing from the reader's position would skip that revision.
-            let why = format!("routes of revision {known}, not {told}");
+            let why =
+                format!("got routes of revision {known} instead of {told}");
             return Err(Error::new(Code::PeerLost, why));
         }
         Ok(())
--- a/crates/shell/src/directory/held_documents.rs
+++ b/crates/shell/src/directory/held_documents.rs
@@ -1,4 +1,4 @@
-//! The documents of routes that were in force last, for patches from them.
+//! A cache of recent routes documents and of patches between them.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -8,15 +8,15 @@
 
 use crate::packed::pack;
 
-/// How many documents, and patches, are held.
-const MOST_HELD: usize = 8;
+/// The maximum number of documents held, and of patches.
+const MAX_HELD: usize = 8;
 
-/// A document that was in force.
+/// The routes document of a revision.
 #[derive(Clone, Debug)]
 pub(super) struct HeldDocument {
     pub revision: u64,
     pub text: Arc<str>,
-    /// The same, packed.
+    /// The text in packed form.
     pub packed: Bytes,
 }
 
@@ -28,8 +28,8 @@
     patch: Arc<Patch>,
 }
 
-/// The last documents, and patches between them: many processes ask for the
-/// same one at the same moment.
+/// Recent documents, and patches between them. Patches are cached because
+/// many processes ask for the same one at the same time.
 #[derive(Debug, Default)]
 pub(super) struct HeldDocuments {
     documents: VecDeque<HeldDocument>,
@@ -37,8 +37,8 @@
 }
 
 impl HeldDocuments {
-    /// Holds the document of a revision, and returns it; `None` if it is no
-    /// text.
+    /// Stores the document of a revision and returns it; `None` if it isn't
+    /// valid UTF-8.
     pub(super) fn hold(
         &mut self,
         revision: u64,
@@ -49,14 +49,15 @@
         }
         let text = std::str::from_utf8(document).ok()?.into();
         let held = HeldDocument { revision, text, packed: pack(document) };
-        if self.documents.len() >= MOST_HELD {
+        if self.documents.len() >= MAX_HELD {
             self.documents.pop_front();
         }
         self.documents.push_back(held.clone());
         Some(held)
     }
 
-    /// Returns the patch from a revision, if its document is still held.
+    /// Returns the patch from revision `from` to `newest`, if the document of
+    /// `from` is still held.
     pub(super) fn patch(
         &mut self,
         from: u64,
@@ -69,7 +70,7 @@
         }
         let old = self.document(from)?;
         let patch = Arc::new(Patch::between(&old.text, &newest.text));
-        if self.patches.len() >= MOST_HELD {
+        if self.patches.len() >= MAX_HELD {
             self.patches.pop_front();
         }
         let held = HeldPatch { from, to, patch: Arc::clone(&patch) };
--- a/crates/shell/src/directory/share.rs
+++ b/crates/shell/src/directory/share.rs
@@ -1,9 +1,10 @@
-//! Handing on to a hall's other processes what was read of the platform.
+//! Serves what was read from the platform to the other processes of a data
+//! hall.
 //!
-//! One entry of a hall reads, the others ask it. A question waits until
-//! there is something that the asker does not know; an answer says how old
-//! it may be, so that the asker can tell a reader that has lost the platform
-//! from a platform on which nothing happens.
+//! One entry of a data hall reads the platform, and the others ask it. A
+//! question is held until there is something new for the asker. An answer
+//! states how old its data may be, so that the asker can tell a reader that
+//! has lost the platform from a platform without changes.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -20,40 +21,43 @@
 };
 use super::{Change, Collection, Facts, Record};
 
-/// The longest that a question waits.
-const MOST_WAIT: Duration = Duration::from_secs(2);
+/// The maximum time for which a question is held.
+const MAX_WAIT: Duration = Duration::from_secs(2);
 
-/// A process that was asked within this span reads for others.
-const READS_FOR_OTHERS: Duration = Duration::from_secs(2);
+/// How long after a question a process counts as a reader for others.
+const READER_WINDOW: Duration = Duration::from_secs(2);
 
-/// How well a collection is known.
+/// How far a collection is in sync with the platform.
 #[derive(Clone, Copy, Debug, Default)]
-struct Contact {
+struct SyncStatus {
     at: Option<u64>,
-    /// When all changes up to `at` were known.
+    /// The time at which all changes up to `at` were known.
     synced: Option<Time>,
     failed: Option<Time>,
 }
 
-/// What one process can hand on.
+/// The data that a process serves to others.
 #[derive(Debug)]
 pub struct Share {
     facts: Arc<Facts>,
     state: Mutex<State>,
-    moved: watch::Sender<u64>,
+    synced_count: watch::Sender<u64>,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    declarations: Contact,
-    replicas: Contact,
+    declarations: SyncStatus,
+    replicas: SyncStatus,
     published: PublishedReplicas,
     documents: HeldDocuments,
-    asked: Option<Instant>,
+    last_asked: Option<Instant>,
 }
 
 impl State {
-    const fn contact(&mut self, collection: Collection) -> &mut Contact {
+    const fn sync_status(
+        &mut self,
+        collection: Collection,
+    ) -> &mut SyncStatus {
         match collection {
             Collection::Replicas => &mut self.replicas,
             _ => &mut self.declarations,
@@ -62,23 +66,27 @@
 }
 
 impl Share {
-    /// Returns a share of these beliefs, with nothing read yet.
+    /// Creates a share that serves `facts`, in sync with no revision yet.
     pub fn new(facts: Arc<Facts>) -> Share {
-        Share { facts, state: Mutex::default(), moved: watch::Sender::new(0) }
+        Share {
+            facts,
+            state: Mutex::default(),
+            synced_count: watch::Sender::new(0),
+        }
     }
 
-    /// Returns the beliefs that it hands on.
+    /// Returns the facts that it serves.
     pub const fn facts(&self) -> &Arc<Facts> {
         &self.facts
     }
 
-    /// Returns whether others have asked of late.
+    /// Returns whether another process has asked recently.
     pub fn reads_for_others(&self) -> bool {
-        let asked = self.lock().asked;
-        asked.is_some_and(|at| at.elapsed() < READS_FOR_OTHERS)
+        let last_asked = self.lock().last_asked;
+        last_asked.is_some_and(|at| at.elapsed() < READER_WINDOW)
     }
 
-    /// Takes in changes up to a revision.
+    /// Records the replica changes among `changes`, up to revision `at`.
     pub(super) fn note(&self, changes: &[Change], at: u64) {
         let mut state = self.lock();
         for change in changes {
@@ -94,73 +102,76 @@
         }
     }
 
-    /// Takes in a whole list of replicas.
+    /// Records a full list of replicas at revision `at`.
     pub(super) fn note_list(&self, replicas: &[Replica], at: u64) {
         self.lock().published.replace(replicas.to_vec(), at);
     }
 
-    /// Takes in that all changes of a collection up to a revision were known
-    /// at a time. What they are is noted, and believed, before.
+    /// Records that all changes of a collection up to revision `at` were known
+    /// at `synced`. The changes themselves must be recorded here, and applied
+    /// to the facts, beforehand.
     pub fn reach(&self, collection: Collection, at: u64, synced: Time) {
         let mut state = self.lock();
         if collection == Collection::Replicas {
             state.published.advance_to(at);
         }
-        let contact = state.contact(collection);
-        contact.at = contact.at.max(Some(at));
-        contact.synced = contact.synced.max(Some(synced));
+        let sync_status = state.sync_status(collection);
+        sync_status.at = sync_status.at.max(Some(at));
+        sync_status.synced = sync_status.synced.max(Some(synced));
         drop(state);
         if collection != Collection::Replicas && self.reads_for_others() {
             self.hold_document();
         }
-        self.moved.send_modify(|count| *count += 1);
+        self.synced_count.send_modify(|count| *count += 1);
     }
 
-    /// Takes in that the platform failed at a time.
+    /// Records that the platform failed at a time.
     pub(super) fn fail(&self, collection: Collection, at: Time) {
         let mut state = self.lock();
-        let contact = state.contact(collection);
-        contact.failed = contact.failed.max(Some(at));
+        let sync_status = state.sync_status(collection);
+        sync_status.failed = sync_status.failed.max(Some(at));
     }
 
-    /// Answers a question, or returns `None` while nothing has been read.
+    /// Answers a question; returns `None` while nothing has been read yet.
     pub async fn answer(
         &self,
         question: &SharedQuestion,
     ) -> Option<SharedAnswer> {
         if !question.for_itself {
-            self.lock().asked = Some(Instant::now());
+            self.lock().last_asked = Some(Instant::now());
         }
-        let wait = Duration::from_millis(question.wait_ms).min(MOST_WAIT);
+        let wait = Duration::from_millis(question.wait_ms).min(MAX_WAIT);
         let until = Instant::now() + wait;
         let most_age = Duration::from_millis(question.most_age_ms);
         let collection = question.collection;
-        let mut moved = self.moved.subscribe();
+        let mut synced_count = self.synced_count.subscribe();
         let mut changes = self.facts.changes();
         let fresh_at_first = self.age(collection) <= most_age;
         loop {
             let left = most_age.checked_sub(self.age(collection));
             let answers = match left {
-                Some(_) => self.has_news(question),
-                // It has just lost the platform: the asker should know. Newer
-                // routes from elsewhere are news all the same.
+                Some(_) => self.has_changes(question),
+                // This process has just lost the platform, which the asker
+                // should learn at once. Newer routes from other processes are
+                // worth an answer even so.
                 None => fresh_at_first || self.has_newer_routes(question),
             };
             if answers || Instant::now() >= until {
                 return self.compose(question);
             }
-            let stale = Instant::now() + left.unwrap_or(MOST_WAIT) + TICK;
+            let stale =
+                Instant::now() + left.unwrap_or(MAX_WAIT) + CLOCK_RESOLUTION;
             tokio::select! {
-                changed = moved.changed() => changed.ok()?,
+                changed = synced_count.changed() => changed.ok()?,
                 changed = changes.changed() => changed.ok()?,
                 () = tokio::time::sleep_until(until.min(stale)) => {}
             }
         }
     }
 
-    /// Returns how long ago a collection was last known whole.
+    /// Returns how long ago a collection was last fully in sync.
     fn age(&self, collection: Collection) -> Duration {
-        let synced = self.lock().contact(collection).synced;
+        let synced = self.lock().sync_status(collection).synced;
         synced.map_or(Duration::MAX, |at| self.facts.now().since(at))
     }
 
@@ -169,7 +180,7 @@
             && self.facts.revision() > question.revision
     }
 
-    fn has_news(&self, question: &SharedQuestion) -> bool {
+    fn has_changes(&self, question: &SharedQuestion) -> bool {
         if question.collection != Collection::Replicas {
             let named = self.facts.target_ages().len();
             let newer = self.has_newer_routes(question);
@@ -177,17 +188,17 @@
             if question.collection == Collection::Targets {
                 return named;
             }
-            return newer || named || self.has_evacuations(question);
+            return newer || named || self.has_evacuation_changes(question);
         }
         let state = self.lock();
         let published = &state.published;
         question.after.is_none_or(|after| published.changed_after(after))
     }
 
-    /// Returns whether evacuations have begun or ended since the asker knew
-    /// all.
-    fn has_evacuations(&self, question: &SharedQuestion) -> bool {
-        let at = self.lock().contact(question.collection).at;
+    /// Returns whether the evacuations differ from those that the asker knows,
+    /// and are newer.
+    fn has_evacuation_changes(&self, question: &SharedQuestion) -> bool {
+        let at = self.lock().sync_status(question.collection).at;
         let ahead = at > question.after;
         ahead && !self.facts.view().evacuations.matches(&question.evacuated)
     }
@@ -195,11 +206,11 @@
     fn compose(&self, question: &SharedQuestion) -> Option<SharedAnswer> {
         let now = self.facts.now();
         let mut state = self.lock();
-        let contact = *state.contact(question.collection);
+        let sync_status = *state.sync_status(question.collection);
         let mut answer = SharedAnswer {
-            at: contact.at?,
-            age_ms: now.since(contact.synced?).as_millis() as u64,
-            failed_ms: contact
+            at: sync_status.at?,
+            age_ms: now.since(sync_status.synced?).as_millis() as u64,
+            failed_ms: sync_status
                 .failed
                 .map(|at| now.since(at).as_millis() as u64),
             revision: self.facts.revision(),
@@ -210,7 +221,8 @@
         };
         if question.collection == Collection::Replicas {
             if answer.age_ms > question.most_age_ms {
-                // The asker takes nothing so old, and a whole list is large.
+                // The asker would discard data this old, and a full list is
+                // large.
                 return Some(answer);
             }
             let changes = state.published.changes_since(question.after)?;
@@ -227,24 +239,26 @@
         Some(answer)
     }
 
-    /// Returns how to get to the routes in force from an older revision.
+    /// Returns how to get from the routes of revision `known` to the current
+    /// ones; `None` if there are no newer ones.
     fn routes_after(&self, known: u64) -> Option<SharedRoutes> {
         let newest = self.hold_document()?;
         if newest.revision <= known {
             return None;
         }
-        // While a patch is made others wait for it, in place of making it too.
+        // The lock is held while a patch is computed, so that other askers
+        // wait for it instead of computing it again.
         let patch = self.lock().documents.patch(known, &newest);
         let small = patch.filter(|p| p.size() < newest.packed.len());
         Some(small.map_or(SharedRoutes::Fetch, SharedRoutes::Patch))
     }
 
-    /// Returns the document in force, packed, if any is known.
+    /// Returns the current document of routes, packed, if any is known.
     pub fn packed_routes(&self) -> Option<Bytes> {
         Some(self.hold_document()?.packed)
     }
 
-    /// Holds the document in force, and returns it.
+    /// Stores the current document of routes and returns it.
     fn hold_document(&self) -> Option<HeldDocument> {
         let view = self.facts.view();
         let revision = view.routes.as_ref()?.revision();
@@ -256,5 +270,5 @@
     }
 }
 
-/// The clock of beliefs counts whole milliseconds.
-const TICK: Duration = Duration::from_millis(1);
+/// The resolution of the clock of [`Facts`], which counts whole milliseconds.
+const CLOCK_RESOLUTION: Duration = Duration::from_millis(1);
--- a/crates/shell/src/directory/shared_messages.rs
+++ b/crates/shell/src/directory/shared_messages.rs
@@ -1,4 +1,4 @@
-//! What processes ask one another of what one of them has read.
+//! Messages between processes that share reads of the platform.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,47 +13,49 @@
 
 use super::{Collection, EvacuationAge, TargetAge};
 
-/// What a process asks the reader of its hall.
+/// A question to the reader of a data hall.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct SharedQuestion {
-    /// What it wants to know.
+    /// The collection that it is about.
     pub collection: Collection,
-    /// The platform's revision up to which it knows all, if any.
+    /// The platform revision up to which the asker knows all changes, if any.
     pub after: Option<u64>,
-    /// The revision of the routes that it knows.
+    /// The revision of the routes that the asker knows.
     pub revision: u64,
-    /// How many versions it knows to be named.
+    /// The number of target versions that the asker knows.
     pub targets: usize,
-    /// The halls that it takes for evacuated.
+    /// The data halls that the asker knows to be evacuated.
     #[serde(default)]
     pub evacuated: Vec<Arc<str>>,
-    /// How long to wait for something new, in milliseconds.
+    /// How long to wait for a change, in milliseconds.
     pub wait_ms: u64,
-    /// From which age on an answer is of no use, in milliseconds.
+    /// The maximum age of a usable answer, in milliseconds.
     pub most_age_ms: u64,
-    /// Whether the asker hands nothing on, as an agent does not.
+    /// Whether the asker serves nothing to others, as is the case for agents.
     #[serde(default)]
     pub for_itself: bool,
 }
 
-/// What the reader of a hall answers.
+/// An answer of the reader of a data hall.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct SharedAnswer {
-    /// The platform's revision up to which this is all there is.
+    /// The platform revision up to which the answer is complete.
     pub at: u64,
-    /// How long ago that was so at the latest, in milliseconds.
+    /// The maximum time since the answer was known to be complete, in
+    /// milliseconds.
     pub age_ms: u64,
-    /// How long ago the platform last failed the reader, in milliseconds.
+    /// The time since a call of the reader to the platform last failed, in
+    /// milliseconds.
     pub failed_ms: Option<u64>,
-    /// The revision of the routes that the reader has in force.
+    /// The revision of the reader's current routes.
     pub revision: u64,
     /// How to get to newer routes.
     #[serde(default)]
     pub routes: Option<SharedRoutes>,
-    /// The versions named.
+    /// The target versions.
     #[serde(default)]
     pub targets: Vec<TargetAge>,
-    /// The evacuations in force, where declarations were asked for.
+    /// The current evacuations, if the question is about declarations.
     #[serde(default)]
     pub evacuations: Option<Vec<EvacuationAge>>,
     /// Changes of replicas.
@@ -62,7 +64,7 @@
 }
 
 impl SharedAnswer {
-    /// Returns whether it leads to newer routes than the asker knew.
+    /// Returns whether it has newer routes than the asker knows.
     pub fn has_newer_routes(&self, question: &SharedQuestion) -> bool {
         self.routes.is_some() && self.revision > question.revision
     }
@@ -72,20 +74,20 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SharedRoutes {
-    /// Their document is to be fetched whole.
+    /// Their full document has to be fetched.
     Fetch,
-    /// What leads there from the document that the asker holds.
+    /// A patch of the document that the asker holds.
     Patch(Arc<Patch>),
 }
 
 /// Changes of replicas in an answer.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct SharedReplicas {
-    /// Whether those that are not listed are gone.
+    /// Whether `listed` is complete, so that all other replicas are gone.
     pub whole: bool,
-    /// Replicas that came or changed.
+    /// New and changed replicas.
     pub listed: Vec<Replica>,
-    /// Incarnations that are listed no more.
+    /// Incarnations that are no longer listed.
     pub gone: Vec<Arc<str>>,
 }
 
@@ -99,49 +101,49 @@
     }
 }
 
-/// What another entry answered.
+/// An answer of another entry.
 #[derive(Clone, Debug)]
 pub struct ReaderAnswer {
-    /// Where that entry answers others.
+    /// The address at which that entry answers others.
     pub entry: SocketAddr,
-    /// What it has read.
+    /// The data that it has read.
     pub shared: SharedAnswer,
 }
 
-/// What asking the others of the hall brought.
+/// The outcome of asking other processes of the data hall.
 #[derive(Clone, Debug)]
 pub enum HallNews {
     /// A fresh answer.
     Told(ReaderAnswer),
-    /// Nothing yet: another process reads for this one, and has to be asked
+    /// No answer yet: another process reads for this one, and has to be asked
     /// again.
     Awaited,
-    /// Nothing: the platform is to be read.
+    /// No answer: the platform has to be read.
     Nobody,
 }
 
-/// Asks another process of the hall for what it has read.
+/// A client for the other processes of a data hall.
 pub trait HallReader: Send + Sync {
-    /// Returns what another process knows.
+    /// Asks another process.
     fn ask(&self, question: SharedQuestion) -> BoxFuture<'_, HallNews>;
 
-    /// Asks processes that had old news again and again, or else those that
-    /// have not been asked of late, and returns once one has fresh news; never
-    /// if none answers.
+    /// Asks until a process answers with fresh data; never returns if none
+    /// does. Repeatedly asks the processes whose data was too old, or else
+    /// those that haven't been asked recently.
     fn news(&self, question: SharedQuestion) -> BoxFuture<'_, ReaderAnswer>;
 
-    /// Returns whether this process knows of no other that it could ask or
-    /// that could ask it.
+    /// Returns whether this process knows no other that it could ask or that
+    /// could ask it.
     fn is_alone(&self) -> bool;
 
-    /// Returns whether this process is one that others ask.
+    /// Returns whether other processes ask this one.
     fn leads(&self) -> bool;
 
-    /// Returns the document of the routes that an entry has in force.
+    /// Fetches the document of an entry's current routes.
     ///
     /// # Errors
     ///
-    /// If it brings none in time.
+    /// If the entry doesn't send it within the time `within`.
     fn fetch_routes(
         &self,
         entry: SocketAddr,
--- a/crates/shell/src/directory/sharing.rs
+++ b/crates/shell/src/directory/sharing.rs
@@ -1,46 +1,46 @@
-//! How long the steps of shared reading may take, as shares of the bound that
-//! they serve.
+//! Time limits for reads shared within a data hall, as fractions of the time
+//! in which a change has to take effect.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use super::{HallReader, Share};
 
-/// How a hall's processes share reading.
+/// How the processes of a data hall share reads of the platform.
 #[derive(Clone)]
 pub struct Sharing {
-    /// What this process hands on.
+    /// The data that this process serves to others.
     pub share: Arc<Share>,
-    /// Whom it asks itself.
+    /// How this process asks others.
     pub reader: Arc<dyn HallReader>,
-    /// Within which a change has to be in force: what others are told must
-    /// leave time to notice that the reader has failed.
+    /// The time in which a change has to take effect. The age of the data
+    /// served to others must leave time to notice that the reader has failed.
     pub bound: Duration,
-    /// How long a watch waits at the platform, where that is not a share of
-    /// the bound: of a process that hands nothing on.
+    /// How long the platform holds a watch, for a process that serves nothing
+    /// to others; `None` for a fraction of the bound.
     pub watch: Option<Duration>,
 }
 
 impl Sharing {
-    /// Returns how long a question waits at the reader. There may be two on
-    /// the way, and the ages of their answers add up.
+    /// Returns how long the reader holds a question. Data may pass through two
+    /// processes on its way, and the ages of their answers add up.
     pub(super) fn wait(&self) -> Duration {
         self.bound / 8
     }
 
-    /// Returns how long a whole document may take.
+    /// Returns the timeout for fetching a full document.
     pub(super) fn fetch(&self) -> Duration {
         self.bound / 2
     }
 
-    /// Returns from which age on the reader's answers are of no use.
+    /// Returns the maximum age of a usable answer of the reader.
     pub(super) fn most_age(&self) -> Duration {
         self.bound * 3 / 5
     }
 
-    /// Returns how long a watch waits: while it waits it says nothing of the
-    /// platform, and one that is begun while the platform is silent gets no
-    /// answer once that is over.
+    /// Returns how long the platform holds a watch. A pending watch doesn't
+    /// show whether the platform still responds, and one that starts while the
+    /// platform doesn't respond gets no answer even after it has recovered.
     pub(super) fn watch(&self) -> Duration {
         if let Some(watch) = self.watch {
             return watch;
@@ -52,14 +52,16 @@
         }
     }
 
-    /// Returns how long after a call to a platform that has failed the next
-    /// one begins, whether or not that has an answer: a call that begins in
-    /// the platform's silence gets none once that is over.
+    /// Returns the interval between the starts of two probes of a platform
+    /// that has failed, whether or not the first one has been answered. A call
+    /// that starts while the platform doesn't respond gets no answer even
+    /// after it has recovered.
     pub(super) fn probe(&self) -> Duration {
         self.bound / 4
     }
 
-    /// Returns the least span between two calls while others ask.
+    /// Returns the minimum interval between two calls to the platform while
+    /// others ask this process.
     pub(super) fn pace(&self) -> Duration {
         self.bound / 8
     }
