--- a/crates/shell/src/directory/facts.rs
+++ b/crates/shell/src/directory/facts.rs
@@ -1,4 +1,4 @@
-//! What one process believes of what is published.
+//! A process's view of the published records.
 
 mod evacuations;
 mod targets;
@@ -21,24 +21,24 @@
 use super::{Change, Record, Source};
 use crate::decisions::{Decision, DecisionLog};
 
-/// How much a listed replica can be relied on.
+/// Whether the list of replicas still confirms a replica.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Standing {
-    /// The list names it.
+    /// It is in the list.
     Listed,
-    /// It went from the list while the platform was failing, which may be no
-    /// more than that failure.
+    /// It disappeared from the list while the platform was failing, possibly
+    /// only because of that failure.
     Doubtful,
 }
 
-/// The beliefs of one moment.
+/// A snapshot of [`Facts`].
 #[derive(Clone, Debug, Default)]
 pub struct FactsView {
-    /// The routes in force, once any are known.
+    /// The current routes, once any are known.
     pub routes: Option<Arc<RouteTable>>,
-    /// The document that they were read from.
+    /// The document that the routes were parsed from.
     pub document: Bytes,
-    /// The versions named of models.
+    /// The target versions of models.
     pub targets: VersionTargets,
     /// The data halls that get no requests.
     pub evacuations: Evacuations,
@@ -52,8 +52,8 @@
         self.routes.as_ref()?.service(service)?.engine
     }
 
-    /// Whether the routes in force know a service; without routes any is taken
-    /// for known.
+    /// Whether the current routes contain a service; without routes, every
+    /// service counts as known.
     pub fn knows_service(&self, service: &str) -> bool {
         self.routes.as_ref().is_none_or(|r| r.service(service).is_some())
     }
@@ -67,7 +67,8 @@
     }
 }
 
-/// The beliefs of a process, read without a lock and changed one at a time.
+/// A process's view of the published records. Reads take no lock; changes are
+/// serialized.
 #[derive(Debug)]
 pub struct Facts {
     view: ArcSwap<FactsView>,
@@ -77,20 +78,21 @@
     start: Instant,
     presumed_age: Duration,
     /// When all published routes were last known, in milliseconds of the
-    /// process's time; 0 if they never were.
+    /// process's clock; 0 if never.
     routes_known: AtomicU64,
-    /// Whole documents of routes read from the platform.
+    /// The number of full routes documents read from the platform.
     documents: AtomicU64,
 }
 
-/// The process's time at its start; leaves room for what is older.
+/// The process's clock at its start. It isn't 0, so that times before the
+/// start can be represented.
 const START: Time = Time::from_millis(24 * 3_600_000);
 
 impl Facts {
-    /// Returns empty beliefs.
+    /// Creates an empty view.
     ///
-    /// A version that was named before the process began is presumed to be
-    /// `presumed_age` old.
+    /// A target version that was set before the process started is presumed
+    /// to be `presumed_age` old.
     pub fn new(log: DecisionLog, presumed_age: Duration) -> Facts {
         Facts {
             presumed_age,
@@ -104,12 +106,12 @@
         }
     }
 
-    /// Returns the beliefs of this moment.
+    /// Returns the current snapshot.
     pub fn view(&self) -> arc_swap::Guard<Arc<FactsView>> {
         self.view.load()
     }
 
-    /// Returns the process's time.
+    /// Returns the time of the process's clock.
     pub fn now(&self) -> Time {
         START.after(self.start.elapsed())
     }
@@ -119,13 +121,14 @@
         &self.log
     }
 
-    /// Returns a receiver that is told of each change.
+    /// Returns a receiver that is notified of each change.
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
-    /// Takes in a record, if it is newer than what is believed. It was
-    /// written after `synced`, when the process last knew all there was.
+    /// Applies a record if it is newer than the known one. The record was
+    /// written after `synced`, the time at which the process was last fully in
+    /// sync.
     pub fn learn(&self, record: Record, source: Source, synced: Option<Time>) {
         match record {
             Record::Routes(table, document) => {
@@ -141,9 +144,10 @@
         }
     }
 
-    /// Takes in a change; `reliable` says whether the platform has been well
-    /// enough for an absence to be believed. It was made after `synced`, when
-    /// the process last knew all there was.
+    /// Applies a change. Without `reliable`, which says that the platform
+    /// hasn't failed recently, a replica that is gone is only marked as
+    /// doubtful. The change was made after `synced`, the time at which the
+    /// process was last fully in sync.
     pub fn apply(
         &self,
         change: Change,
@@ -166,7 +170,7 @@
         }
     }
 
-    /// Notes a published record that cannot be taken.
+    /// Logs a published record that is invalid.
     pub fn refuse(&self, error: &stairhinge::Error) {
         self.log.write(&Decision::RecordRefused {
             code: error.code().number(),
@@ -174,7 +178,8 @@
         });
     }
 
-    /// Takes in a whole list of replicas: those that are not in it are gone.
+    /// Applies a full list of replicas: all others are gone, or doubtful
+    /// without `reliable`.
     pub fn replace_replicas(&self, listed: Vec<Replica>, reliable: bool) {
         let mut absent = Vec::new();
         for incarnation in self.view().replicas.keys() {
@@ -190,35 +195,35 @@
         }
     }
 
-    /// Returns the revision of the routes in force, 0 without any.
+    /// Returns the revision of the current routes, 0 without any.
     pub fn revision(&self) -> u64 {
         self.view().routes.as_ref().map_or(0, |r| r.revision())
     }
 
-    /// Notes that all routes published until a time are known.
+    /// Records that all routes published until a time are known.
     pub fn note_routes_known(&self, at: Time) {
         let at = at.as_millis();
         self.routes_known.fetch_max(at, Ordering::Relaxed);
     }
 
-    /// Returns how long ago all published routes were known, if ever.
+    /// Returns how long ago all published routes were last known, if ever.
     pub fn routes_age(&self) -> Option<Duration> {
         let at = self.routes_known.load(Ordering::Relaxed);
         (at > 0).then(|| self.now().since(Time::from_millis(at)))
     }
 
-    /// Returns whether all that operators publish, as far as this process
-    /// follows it, was known at some time.
+    /// Returns whether the process has ever been fully in sync with the
+    /// declarations that it follows.
     pub fn knows_declarations(&self) -> bool {
         self.routes_known.load(Ordering::Relaxed) > 0
     }
 
-    /// Counts whole documents of routes that the platform has sent.
+    /// Counts full routes documents that the platform has sent.
     pub fn note_documents(&self, count: usize) {
         self.documents.fetch_add(count as u64, Ordering::Relaxed);
     }
 
-    /// Returns how many whole documents of routes the platform has sent.
+    /// Returns how many full routes documents the platform has sent.
     pub fn documents(&self) -> u64 {
         self.documents.load(Ordering::Relaxed)
     }
@@ -228,7 +233,7 @@
         Time::from_millis(self.now().as_millis().saturating_sub(ms))
     }
 
-    /// Drops the replicas that only a failing platform has kept in doubt.
+    /// Removes the doubtful replicas, once the platform has recovered.
     pub fn settle_doubts(&self) {
         let mut doubtful = Vec::new();
         for (incarnation, (_, standing)) in &self.view().replicas {
--- a/crates/shell/src/directory/facts/evacuations.rs
+++ b/crates/shell/src/directory/facts/evacuations.rs
@@ -1,4 +1,4 @@
-//! What a process believes of evacuated data halls.
+//! A process's view of evacuated data halls.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,17 +9,17 @@
 use super::Facts;
 use crate::decisions::Decision;
 
-/// An evacuation in force, as one process tells another.
+/// A current evacuation, as sent between processes.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct EvacuationAge {
     /// The data hall.
     pub hall: Arc<str>,
-    /// How long ago it was ordered at most, in milliseconds.
+    /// The maximum time since it was ordered, in milliseconds.
     pub age_ms: u64,
 }
 
 impl Facts {
-    /// Returns the evacuated halls, as this process tells others of them.
+    /// Returns the evacuated data halls with the ages of their evacuations.
     pub fn evacuation_ages(&self) -> Vec<EvacuationAge> {
         let now = self.now();
         let mut ages = Vec::new();
@@ -30,7 +30,7 @@
         ages
     }
 
-    /// Takes in all evacuations that are in force: others have ended.
+    /// Applies a full list of evacuations: all others have been withdrawn.
     pub fn replace_evacuations(
         &self,
         told: &[EvacuationAge],
@@ -51,8 +51,9 @@
         }
     }
 
-    /// Takes note of an evacuation. One of which this process can't tell when
-    /// it was ordered is taken for one whose time is over.
+    /// Applies an evacuation that was ordered after `synced`. Without `synced`
+    /// the time of the order is unknown, and the evacuation counts as so old
+    /// that no requests may be sent to the data hall any more.
     pub(super) fn learn_evacuation(
         &self,
         hall: Arc<str>,
@@ -60,12 +61,12 @@
         synced: Option<Time>,
     ) {
         let since = synced.unwrap_or(Time::from_millis(0));
-        let mut news = false;
+        let mut changed = false;
         self.change(|view| {
-            news = view.evacuations.begin(Arc::clone(&hall), since);
-            news
+            changed = view.evacuations.begin(Arc::clone(&hall), since);
+            changed
         });
-        if news {
+        if changed {
             self.log.write(&Decision::HallEvacuated {
                 hall: &hall,
                 source,
@@ -76,12 +77,12 @@
     }
 
     pub(super) fn end_evacuation(&self, hall: &str, source: &'static str) {
-        let mut news = false;
+        let mut changed = false;
         self.change(|view| {
-            news = view.evacuations.end(hall);
-            news
+            changed = view.evacuations.end(hall);
+            changed
         });
-        if news {
+        if changed {
             self.log.write(&Decision::HallRestored { hall, source });
         }
     }
--- a/crates/shell/src/directory/facts/targets.rs
+++ b/crates/shell/src/directory/facts/targets.rs
@@ -1,4 +1,4 @@
-//! What a process believes of the versions named of models.
+//! A process's view of the target versions of models.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,19 +10,20 @@
 use super::Facts;
 use crate::decisions::Decision;
 
-/// A version named of a model, as one process tells another.
+/// The target version of a model, as sent between processes.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct TargetAge {
     /// The model.
     pub model: Arc<str>,
     /// The version of its weights.
     pub version: u64,
-    /// How long ago it was named, in milliseconds, if the teller was there.
+    /// The time since it was set, in milliseconds, if the sender was running
+    /// then.
     pub age_ms: Option<u64>,
 }
 
 impl Facts {
-    /// Returns the versions named, as this process tells others of them.
+    /// Returns the target versions with their ages.
     pub fn target_ages(&self) -> Vec<TargetAge> {
         let now = self.now();
         let mut ages = Vec::new();
@@ -34,7 +35,7 @@
         ages
     }
 
-    /// Takes over versions that another process knows to be named.
+    /// Applies target versions that another process knows.
     pub fn learn_targets(&self, told: &[TargetAge]) {
         for told in told.iter() {
             let known = self.view().targets.version(&told.model);
@@ -54,8 +55,8 @@
         }
     }
 
-    /// Takes over the ages of versions from a process that was there when
-    /// they were named.
+    /// Replaces estimated ages of target versions by those of a process that
+    /// was running when they were set.
     fn refine_ages(&self, ages: &[TargetAge]) {
         for told in ages {
             let Some(ms) = told.age_ms else { continue };
--- a/crates/shell/src/directory/records.rs
+++ b/crates/shell/src/directory/records.rs
@@ -1,4 +1,4 @@
-//! The border to a platform that can only be read.
+//! The interface to a platform that can only be read.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,25 +9,25 @@
 use stairhinge::Error;
 use stairhinge::direct::{Replica, RouteTable, VersionTarget};
 
-/// A part of what a platform publishes.
+/// A collection of records that a platform publishes.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Collection {
-    /// All that operators publish: routes, versions named of models, halls
-    /// evacuated.
+    /// All that operators publish: routes, target versions of models and
+    /// evacuated data halls.
     Declarations,
     /// Routes, services and workspaces.
     Routes,
-    /// The versions named of models.
+    /// The target versions of models.
     Targets,
-    /// The halls that operators have evacuated.
+    /// The data halls that operators have evacuated.
     Evacuations,
     /// The list of replicas.
     Replicas,
 }
 
 impl Collection {
-    /// Returns the word for it in logs.
+    /// Returns its name in logs.
     pub const fn name(self) -> &'static str {
         match self {
             Collection::Declarations => "declarations",
@@ -39,21 +39,21 @@
     }
 }
 
-/// How new the answer to a read has to be.
+/// How up to date the answer to a read has to be.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Freshness {
-    /// It reflects every change acknowledged before the read.
+    /// The answer reflects every change acknowledged before the read.
     Current,
-    /// It may be seconds old, and is cheap.
+    /// The answer may be seconds old; the read is cheap.
     Stale,
 }
 
 /// One published record.
 #[derive(Debug)]
 pub enum Record {
-    /// A revision of all routes, and the document that it was read from.
+    /// A revision of all routes, and the document that it was parsed from.
     Routes(Arc<RouteTable>, Bytes),
-    /// A version named of a model.
+    /// The target version of a model.
     Target(VersionTarget),
     /// A data hall that gets no requests.
     Evacuation(Arc<str>),
@@ -61,54 +61,55 @@
     Replica(Replica),
 }
 
-/// A change that a watch brought.
+/// A change returned by a watch.
 #[derive(Debug)]
 pub enum Change {
     /// A record was written.
     Set(Record),
-    /// The replica of this incarnation is listed no more.
+    /// The replica of this incarnation is no longer listed.
     Gone(Arc<str>),
-    /// The evacuation of this data hall was taken back.
+    /// The evacuation of this data hall was withdrawn.
     EvacuationEnded(Arc<str>),
-    /// A record was written that cannot be taken.
+    /// An invalid record was written.
     Invalid(Error),
 }
 
 /// All records of a collection.
 #[derive(Debug)]
 pub struct Listing {
-    /// The records, and why some cannot be taken.
+    /// The records, with an error in place of each invalid one.
     pub records: Vec<Result<Record, Error>>,
-    /// The platform's revision that the listing reflects.
+    /// The platform revision that the listing reflects.
     pub at: u64,
 }
 
-/// What a watch brought.
+/// The result of a watch.
 #[derive(Debug)]
 pub enum Watched {
-    /// Changes in order, maybe none, up to a revision of the platform.
+    /// The changes in order, possibly none, and the platform revision that
+    /// they lead to.
     Changes(Vec<Change>, u64),
-    /// The platform has forgotten what came after the revision asked for.
+    /// The platform no longer has the changes after the requested revision.
     Forgotten,
 }
 
 /// A platform that can only be read.
 pub trait Directory: Send + Sync {
-    /// Reads a collection whole.
+    /// Reads a whole collection.
     fn list(
         &self,
         collection: Collection,
         freshness: Freshness,
     ) -> BoxFuture<'_, Result<Listing, Error>>;
 
-    /// Reads a document of routes that a peer handed over.
+    /// Parses a routes document received from a peer.
     ///
     /// # Errors
     ///
-    /// As for a published one.
+    /// If the document is invalid, as for a published one.
     fn parse_routes(&self, document: Bytes) -> Result<Record, Error>;
 
-    /// Waits for changes after a revision of the platform.
+    /// Waits up to `wait` for changes after a platform revision.
     fn watch(
         &self,
         collection: Collection,
