--- a/crates/shell/src/directory/counted.rs
+++ b/crates/shell/src/directory/counted.rs
@@ -1,4 +1,4 @@
-//! Counting and logging the calls to the platform, each of which has a price.
+//! Counts and logs calls to the platform, since each call has a cost.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -11,8 +11,8 @@
 use super::{Collection, Directory, Freshness, Listing, Record, Watched};
 use crate::decisions::{Decision, DecisionLog};
 
-/// A call to the platform, by what it is counted under: the collection, and
-/// whether it was listed or watched.
+/// The kind under which a call to the platform is counted: the name of the
+/// collection, and the way it was read (a list, a stale list or a watch).
 pub type CallKind = (&'static str, &'static str);
 
 /// A directory whose calls are counted and logged.
@@ -31,7 +31,7 @@
         CountedDirectory { inner, log, counts: Mutex::default() }
     }
 
-    /// Returns how many calls of each kind have begun.
+    /// Returns the number of calls started of each kind.
     pub fn counts(&self) -> BTreeMap<CallKind, u64> {
         self.lock().clone()
     }
@@ -44,7 +44,7 @@
         self.counts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Counts a call, and logs it once it has ended.
+    /// Counts a call when it starts and logs it when it ends.
     async fn count<T>(
         &self,
         kind: CallKind,
--- a/crates/shell/src/directory/news.rs
+++ b/crates/shell/src/directory/news.rs
@@ -1,8 +1,9 @@
-//! What processes tell one another of what is published.
+//! Notices of published revisions, sent between processes.
 //!
-//! A platform may turn some processes away and serve the others. News go
-//! from entries to agents and from agents to all entries that listen; they
-//! name who holds the document, and only who is behind asks for it.
+//! A platform may reject some processes while it serves others. Notices go
+//! from entries to agents, and from agents to all entries that listen. A
+//! notice states which process holds the routes document, and only processes
+//! with older routes fetch it.
 
 use std::net::SocketAddr;
 
@@ -10,14 +11,14 @@
 
 use super::TargetAge;
 
-/// The newest that a process knows to be published.
+/// The newest published revision and target versions that a process knows.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct News {
     /// The revision of the routes.
     pub revision: u64,
-    /// Who holds the document of that revision.
+    /// The address of a process that holds the document of that revision.
     pub holder: Option<SocketAddr>,
-    /// The versions named.
+    /// The target versions.
     #[serde(default)]
     pub targets: Vec<TargetAge>,
 }
--- a/crates/shell/src/directory/source.rs
+++ b/crates/shell/src/directory/source.rs
@@ -1,10 +1,9 @@
 //! How a record reached this process, for the log.
 //!
-//! Routes that come late are late for one of several reasons: a reading that
-//! took long, a neighbour that was late itself, or a processor that was busy
-//! after the last byte. The log tells these apart by who told the routes, how
-//! long the call took that brought them, and how many whole documents came in
-//! the same answer.
+//! Routes can arrive late because a read was slow, because the peer that sent
+//! them was late itself, or because the CPU was busy after the last byte. To
+//! distinguish these causes, the log states the sender of the routes, the
+//! duration of the call and the number of full documents in the answer.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,16 +18,16 @@
 }
 
 impl Source {
-    /// Returns a way of which nothing else is known.
+    /// Creates a source that only states the way.
     pub const fn new(way: &'static str) -> Source {
         Source { way, entry: None, took: None, documents: None }
     }
 
-    /// Returns a reading of the platform, by a list or a watch.
+    /// Creates the source of records read from the platform, by a list or a
+    /// watch.
     ///
-    /// `took` is the time since the call, which for a watch includes its
-    /// wait; `documents` counts the whole documents of routes that it
-    /// brought.
+    /// `took` is the time since the call, including the wait of a watch;
+    /// `documents` is the number of full routes documents in the answer.
     pub const fn platform(
         way: &'static str,
         took: Duration,
@@ -42,7 +41,8 @@
         }
     }
 
-    /// Returns a way over another entry, `took` after it was asked.
+    /// Creates the source of a record received from another entry, `took`
+    /// after it was asked.
     pub const fn entry(
         way: &'static str,
         entry: SocketAddr,
@@ -51,23 +51,23 @@
         Source { way, entry: Some(entry), took: Some(took), documents: None }
     }
 
-    /// Returns the word for the way.
+    /// Returns the name of the way in logs.
     pub const fn way(&self) -> &'static str {
         self.way
     }
 
-    /// Returns the entry that told the record, if one did.
+    /// Returns the entry that sent the record, if one did.
     pub const fn teller(&self) -> Option<SocketAddr> {
         self.entry
     }
 
-    /// Returns how long the call took that brought the record, in
+    /// Returns the duration of the call that returned the record, in
     /// milliseconds.
     pub fn took_ms(&self) -> Option<u64> {
         self.took.map(|took| took.as_millis() as u64)
     }
 
-    /// Returns how many whole documents of routes the same answer had.
+    /// Returns the number of full routes documents in the same answer.
     pub const fn documents(&self) -> Option<usize> {
         self.documents
     }
