--- a/crates/gateway/src/entry.rs
+++ b/crates/gateway/src/entry.rs
@@ -215,8 +215,8 @@
         collection,
         wait: Duration::from_millis(4_000),
         pace,
-        doubt: settings.unlisted_grace(),
-        burst_pace: settings.burst_read_interval(),
+        unlisted_grace: settings.unlisted_grace(),
+        burst_read_interval: settings.burst_read_interval(),
         settling: Duration::from_millis(settings.contact_ms),
         first_start: settings.first_start,
         sharing: readers.map(|readers| Sharing {
--- a/crates/gateway/src/hall_reader.rs
+++ b/crates/gateway/src/hall_reader.rs
@@ -13,7 +13,7 @@
 use stairhinge::direct::{HallEntry, ReaderChoice};
 use stairhinge_shell::decisions::Decision;
 use stairhinge_shell::directory::{
-    Collection, Facts, HallNews, HallReader, ReaderAnswer, SharedQuestion,
+    Collection, Facts, HallAnswer, HallReader, ReaderAnswer, SharedQuestion,
 };
 use stairhinge_shell::http::Client;
 
@@ -139,31 +139,34 @@
 }
 
 impl HallReader for HallReaders {
-    fn ask(&self, question: SharedQuestion) -> BoxFuture<'_, HallNews> {
+    fn ask(&self, question: SharedQuestion) -> BoxFuture<'_, HallAnswer> {
         Box::pin(async move {
             if let Some(answer) = self.ask_by_rank(&question).await {
-                return HallNews::Told(answer);
+                return HallAnswer::Answered(answer);
             }
             if question.collection == Collection::Replicas {
                 // Its changes are small, and leaving replicas must be known
                 // in time even if the readers have failed.
-                return HallNews::Nobody;
+                return HallAnswer::ReadPlatform;
             }
             let leading = self.dispatcher.leading_entries().len();
             let entries = self.entries();
             let awaited = self.choice().reader_to_await(&entries, leading);
-            let Some(entry) = awaited else { return HallNews::Nobody };
+            let Some(entry) = awaited else { return HallAnswer::ReadPlatform };
             if rand::rng().random_ratio(1, READ_ODDS) {
-                return HallNews::Nobody;
+                return HallAnswer::ReadPlatform;
             }
             match self.query(entry, &question).await {
-                Some(answer) => HallNews::Told(answer),
-                None => HallNews::Awaited,
+                Some(answer) => HallAnswer::Answered(answer),
+                None => HallAnswer::Pending,
             }
         })
     }
 
-    fn news(&self, question: SharedQuestion) -> BoxFuture<'_, ReaderAnswer> {
+    fn ask_until_fresh(
+        &self,
+        question: SharedQuestion,
+    ) -> BoxFuture<'_, ReaderAnswer> {
         Box::pin(async move {
             loop {
                 if let Some(entry) = self.entry_during_read()
--- a/crates/loader/src/agent.rs
+++ b/crates/loader/src/agent.rs
@@ -228,8 +228,8 @@
             collection: Collection::Targets,
             wait: TARGET_WATCH_TIMEOUT,
             pace: Duration::from_millis(100),
-            doubt: Duration::from_millis(4_000),
-            burst_pace: Duration::ZERO,
+            unlisted_grace: Duration::from_millis(4_000),
+            burst_read_interval: Duration::ZERO,
             settling: Duration::ZERO,
             first_start: false,
             sharing: Some(Sharing {
--- a/crates/loader/src/hall_entries.rs
+++ b/crates/loader/src/hall_entries.rs
@@ -16,7 +16,7 @@
 use stairhinge_chunks::log_failure;
 use stairhinge_gateway::{FetchError, fetch_published, fetch_routes};
 use stairhinge_shell::directory::{
-    Change, Collection, Facts, HallNews, HallReader, ReaderAnswer, Record,
+    Change, Collection, Facts, HallAnswer, HallReader, ReaderAnswer, Record,
     SharedQuestion, Source,
 };
 use stairhinge_shell::http::Client;
@@ -193,12 +193,12 @@
 }
 
 impl HallReader for HallEntries {
-    fn ask(&self, mut question: SharedQuestion) -> BoxFuture<'_, HallNews> {
+    fn ask(&self, mut question: SharedQuestion) -> BoxFuture<'_, HallAnswer> {
         question.for_itself = true;
         Box::pin(async move {
             if self.next_entry().is_some() {
                 match self.ask_next(&question).await {
-                    Ok(answer) => return HallNews::Told(answer),
+                    Ok(answer) => return HallAnswer::Answered(answer),
                     Err(error) => log_failure(&self.facts, "entry", &error),
                 }
             } else if self.relies_on_entries() {
@@ -206,13 +206,13 @@
                 let _ = tokio::time::timeout(SUBSCRIBE_WAIT, entry).await;
             }
             if self.relies_on_entries() {
-                return HallNews::Awaited;
+                return HallAnswer::Pending;
             }
-            HallNews::Nobody
+            HallAnswer::ReadPlatform
         })
     }
 
-    fn news(
+    fn ask_until_fresh(
         &self,
         mut question: SharedQuestion,
     ) -> BoxFuture<'_, ReaderAnswer> {
--- a/crates/shell/src/directory.rs
+++ b/crates/shell/src/directory.rs
@@ -27,7 +27,7 @@
 };
 pub use self::share::Share;
 pub use self::shared_messages::{
-    HallNews, HallReader, ReaderAnswer, SharedAnswer, SharedQuestion,
+    HallAnswer, HallReader, ReaderAnswer, SharedAnswer, SharedQuestion,
     SharedReplicas, SharedRoutes,
 };
 pub use self::sharing::Sharing;
--- a/crates/shell/src/directory/facts.rs
+++ b/crates/shell/src/directory/facts.rs
@@ -234,7 +234,7 @@
     }
 
     /// Removes the doubtful replicas, once the platform has recovered.
-    pub fn settle_doubts(&self) {
+    pub fn remove_doubtful(&self) {
         let mut doubtful = Vec::new();
         for (incarnation, (_, standing)) in &self.view().replicas {
             if *standing == Standing::Doubtful {
@@ -267,7 +267,7 @@
             self.log.write(&Decision::RoutesTaken {
                 revision,
                 source: source.way(),
-                from: source.teller(),
+                from: source.sender(),
                 took_ms: source.took_ms(),
                 documents: source.documents(),
             });
--- a/crates/shell/src/directory/follow.rs
+++ b/crates/shell/src/directory/follow.rs
@@ -10,7 +10,7 @@
 use stairhinge::{Code, Error, Time};
 
 use super::{
-    Change, Collection, Directory, Facts, HallNews, ReaderAnswer, Record,
+    Change, Collection, Directory, Facts, HallAnswer, ReaderAnswer, Record,
     Share, SharedAnswer, SharedQuestion, SharedRoutes, Sharing, Source,
 };
 use crate::Shutdown;
@@ -28,10 +28,10 @@
     pub pace: Duration,
     /// How long after a failure a replica that is missing from the list is
     /// kept.
-    pub doubt: Duration,
+    pub unlisted_grace: Duration,
     /// The minimum interval between two reads while routes are published in
     /// quick succession.
-    pub burst_pace: Duration,
+    pub burst_read_interval: Duration,
     /// How long after its start no other process depends on this one.
     pub settling: Duration,
     /// Whether the whole platform starts for the first time, so that no
@@ -161,10 +161,10 @@
             return self.read_platform().await;
         };
         let called = self.facts.now();
-        let news = sharing.reader.news(self.question(&sharing));
+        let fresh = sharing.reader.ask_until_fresh(self.question(&sharing));
         let answer = tokio::select! {
             read = self.read_platform() => return read,
-            answer = news => answer,
+            answer = fresh => answer,
         };
         self.take(answer, called, &sharing).await
     }
@@ -195,9 +195,9 @@
         let called = self.facts.now();
         let question = self.question(&sharing);
         let answer = match sharing.reader.ask(question).await {
-            HallNews::Told(answer) => answer,
-            HallNews::Awaited => return HallOutcome::Pending,
-            HallNews::Nobody => return HallOutcome::ReadPlatform,
+            HallAnswer::Answered(answer) => answer,
+            HallAnswer::Pending => return HallOutcome::Pending,
+            HallAnswer::ReadPlatform => return HallOutcome::ReadPlatform,
         };
         match self.take(answer, called, &sharing).await {
             Ok(()) => HallOutcome::Updated,
@@ -338,7 +338,7 @@
     /// Whether the last failure is long enough ago to treat a replica that is
     /// missing from the list as gone.
     fn reliable(&self) -> bool {
-        self.failed.is_none_or(|at| at.elapsed() > self.follow.doubt)
+        self.failed.is_none_or(|at| at.elapsed() > self.follow.unlisted_grace)
     }
 
     fn record_success(&mut self) {
@@ -352,7 +352,7 @@
         if self.failed.is_some() && self.reliable() {
             self.failed = None;
             if self.follow.collection == Collection::Replicas {
-                self.facts.settle_doubts();
+                self.facts.remove_doubtful();
             }
         }
     }
--- a/crates/shell/src/directory/follow/read.rs
+++ b/crates/shell/src/directory/follow/read.rs
@@ -150,14 +150,14 @@
         self.failed = Some(Instant::now());
     }
 
-    /// Lists the collection, after a pause of `burst_pace`; the burst is over
-    /// once a list brings no newer routes.
+    /// Lists the collection, after a pause of `burst_read_interval`; the burst
+    /// is over once a list brings no newer routes.
     ///
     /// A watch returns every revision in full. While many are published in
     /// quick succession, reading only the newest saves bandwidth on slow
     /// links.
     async fn catch_up(&mut self) -> Result<(), Error> {
-        tokio::time::sleep(self.follow.burst_pace).await;
+        tokio::time::sleep(self.follow.burst_read_interval).await;
         let before = self.facts.revision();
         self.list().await?;
         self.burst = self.facts.revision() != before;
@@ -238,7 +238,7 @@
             None => self.follow.wait,
         };
         if self.failed.is_some() {
-            wait.min(self.follow.doubt / 2)
+            wait.min(self.follow.unlisted_grace / 2)
         } else {
             wait
         }
--- a/crates/shell/src/directory/shared_messages.rs
+++ b/crates/shell/src/directory/shared_messages.rs
@@ -112,25 +112,28 @@
 
 /// The outcome of asking other processes of the data hall.
 #[derive(Clone, Debug)]
-pub enum HallNews {
+pub enum HallAnswer {
     /// A fresh answer.
-    Told(ReaderAnswer),
+    Answered(ReaderAnswer),
     /// No answer yet: another process reads for this one, and has to be asked
     /// again.
-    Awaited,
+    Pending,
     /// No answer: the platform has to be read.
-    Nobody,
+    ReadPlatform,
 }
 
 /// A client for the other processes of a data hall.
 pub trait HallReader: Send + Sync {
     /// Asks another process.
-    fn ask(&self, question: SharedQuestion) -> BoxFuture<'_, HallNews>;
+    fn ask(&self, question: SharedQuestion) -> BoxFuture<'_, HallAnswer>;
 
     /// Asks until a process answers with fresh data; never returns if none
     /// does. Repeatedly asks the processes whose data was too old, or else
     /// those that haven't been asked recently.
-    fn news(&self, question: SharedQuestion) -> BoxFuture<'_, ReaderAnswer>;
+    fn ask_until_fresh(
+        &self,
+        question: SharedQuestion,
+    ) -> BoxFuture<'_, ReaderAnswer>;
 
     /// Returns whether this process knows no other that it could ask or that
     /// could ask it.
--- a/crates/shell/src/directory/source.rs
+++ b/crates/shell/src/directory/source.rs
@@ -57,7 +57,7 @@
     }
 
     /// Returns the entry that sent the record, if one did.
-    pub const fn teller(&self) -> Option<SocketAddr> {
+    pub const fn sender(&self) -> Option<SocketAddr> {
         self.entry
     }
 
--- a/crates/shell/tests/catch_up.rs
+++ b/crates/shell/tests/catch_up.rs
@@ -19,7 +19,7 @@
 use futures::future::BoxFuture;
 use stairhinge::Error;
 use stairhinge_shell::directory::{
-    HallNews, HallReader, ReaderAnswer, SharedQuestion,
+    HallAnswer, HallReader, ReaderAnswer, SharedQuestion,
 };
 use support::{Nobody, Routes, fresh, share_reading, until};
 
@@ -46,19 +46,22 @@
 }
 
 impl HallReader for Switched {
-    fn ask(&self, question: SharedQuestion) -> BoxFuture<'_, HallNews> {
+    fn ask(&self, question: SharedQuestion) -> BoxFuture<'_, HallAnswer> {
         let at = self.told.load(Ordering::Relaxed);
         Box::pin(async move {
             if at == 0 || question.after.is_none() {
-                return HallNews::Nobody;
+                return HallAnswer::ReadPlatform;
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
-            HallNews::Told(fresh(at, question.revision, None))
+            HallAnswer::Answered(fresh(at, question.revision, None))
         })
     }
 
-    fn news(&self, question: SharedQuestion) -> BoxFuture<'_, ReaderAnswer> {
-        Nobody.news(question)
+    fn ask_until_fresh(
+        &self,
+        question: SharedQuestion,
+    ) -> BoxFuture<'_, ReaderAnswer> {
+        Nobody.ask_until_fresh(question)
     }
 
     fn is_alone(&self) -> bool {
--- a/crates/shell/tests/follow.rs
+++ b/crates/shell/tests/follow.rs
@@ -13,7 +13,7 @@
 use stairhinge_shell::Shutdown;
 use stairhinge_shell::decisions::DecisionLog;
 use stairhinge_shell::directory::{
-    Collection, Directory, Facts, Follow, Freshness, HallNews, HallReader,
+    Collection, Directory, Facts, Follow, Freshness, HallAnswer, HallReader,
     Listing, ReaderAnswer, Record, SharedQuestion, SharedRoutes, Watched,
     follow,
 };
@@ -32,8 +32,8 @@
         collection: Collection::Declarations,
         wait: Duration::from_secs(4),
         pace: Duration::from_millis(50),
-        doubt: Duration::from_secs(4),
-        burst_pace: Duration::from_millis(300),
+        unlisted_grace: Duration::from_secs(4),
+        burst_read_interval: Duration::from_millis(300),
         settling: Duration::ZERO,
         first_start: false,
         sharing: None,
@@ -62,8 +62,11 @@
 struct Behind;
 
 impl HallReader for Behind {
-    fn news(&self, question: SharedQuestion) -> BoxFuture<'_, ReaderAnswer> {
-        Nobody.news(question)
+    fn ask_until_fresh(
+        &self,
+        question: SharedQuestion,
+    ) -> BoxFuture<'_, ReaderAnswer> {
+        Nobody.ask_until_fresh(question)
     }
 
     fn is_alone(&self) -> bool {
@@ -74,14 +77,14 @@
         true
     }
 
-    fn ask(&self, question: SharedQuestion) -> BoxFuture<'_, HallNews> {
+    fn ask(&self, question: SharedQuestion) -> BoxFuture<'_, HallAnswer> {
         Box::pin(async move {
             // Asked only by those who know something.
             if question.after.is_none() {
-                return HallNews::Nobody;
+                return HallAnswer::ReadPlatform;
             }
             let answer = fresh(1_000, 2, Some(SharedRoutes::Fetch));
-            HallNews::Told(answer)
+            HallAnswer::Answered(answer)
         })
     }
 
@@ -122,20 +125,23 @@
 }
 
 impl HallReader for Unknown {
-    fn ask(&self, _question: SharedQuestion) -> BoxFuture<'_, HallNews> {
+    fn ask(&self, _question: SharedQuestion) -> BoxFuture<'_, HallAnswer> {
         let found = self.found.load(Ordering::Relaxed);
         Box::pin(async move {
             if !found {
-                return HallNews::Nobody;
+                return HallAnswer::ReadPlatform;
             }
             // It takes as long as a question does that waits for news.
             tokio::time::sleep(Duration::from_millis(20)).await;
-            HallNews::Told(fresh(7, 0, None))
+            HallAnswer::Answered(fresh(7, 0, None))
         })
     }
 
-    fn news(&self, question: SharedQuestion) -> BoxFuture<'_, ReaderAnswer> {
-        Nobody.news(question)
+    fn ask_until_fresh(
+        &self,
+        question: SharedQuestion,
+    ) -> BoxFuture<'_, ReaderAnswer> {
+        Nobody.ask_until_fresh(question)
     }
 
     fn is_alone(&self) -> bool {
@@ -186,8 +192,11 @@
 }
 
 impl HallReader for Slow {
-    fn news(&self, question: SharedQuestion) -> BoxFuture<'_, ReaderAnswer> {
-        Nobody.news(question)
+    fn ask_until_fresh(
+        &self,
+        question: SharedQuestion,
+    ) -> BoxFuture<'_, ReaderAnswer> {
+        Nobody.ask_until_fresh(question)
     }
 
     fn is_alone(&self) -> bool {
@@ -198,13 +207,13 @@
         false
     }
 
-    fn ask(&self, _question: SharedQuestion) -> BoxFuture<'_, HallNews> {
+    fn ask(&self, _question: SharedQuestion) -> BoxFuture<'_, HallAnswer> {
         let asked = self.asked.fetch_add(1, Ordering::Relaxed);
         let news = if (1..4).contains(&asked) {
-            HallNews::Awaited
+            HallAnswer::Pending
         } else {
             let answer = fresh(7, 0, None);
-            HallNews::Told(answer)
+            HallAnswer::Answered(answer)
         };
         // It takes as long as a question does that waits for news.
         Box::pin(async move {
@@ -287,11 +296,14 @@
 struct Later;
 
 impl HallReader for Later {
-    fn ask(&self, _question: SharedQuestion) -> BoxFuture<'_, HallNews> {
-        Box::pin(async { HallNews::Nobody })
+    fn ask(&self, _question: SharedQuestion) -> BoxFuture<'_, HallAnswer> {
+        Box::pin(async { HallAnswer::ReadPlatform })
     }
 
-    fn news(&self, _question: SharedQuestion) -> BoxFuture<'_, ReaderAnswer> {
+    fn ask_until_fresh(
+        &self,
+        _question: SharedQuestion,
+    ) -> BoxFuture<'_, ReaderAnswer> {
         let answer = fresh(9, 1, Some(SharedRoutes::Fetch));
         Box::pin(async {
             tokio::time::sleep(Duration::from_millis(50)).await;
--- a/crates/shell/tests/support/mod.rs
+++ b/crates/shell/tests/support/mod.rs
@@ -12,7 +12,7 @@
 use stairhinge::{Code, Error};
 use stairhinge_shell::decisions::DecisionLog;
 use stairhinge_shell::directory::{
-    Change, Collection, Directory, Facts, Follow, Freshness, HallNews,
+    Change, Collection, Directory, Facts, Follow, Freshness, HallAnswer,
     HallReader, Listing, ReaderAnswer, Record, Share, SharedAnswer,
     SharedQuestion, SharedRoutes, Sharing, Watched, follow,
 };
@@ -60,11 +60,14 @@
 pub struct Nobody;
 
 impl HallReader for Nobody {
-    fn ask(&self, _question: SharedQuestion) -> BoxFuture<'_, HallNews> {
-        Box::pin(async { HallNews::Nobody })
+    fn ask(&self, _question: SharedQuestion) -> BoxFuture<'_, HallAnswer> {
+        Box::pin(async { HallAnswer::ReadPlatform })
     }
 
-    fn news(&self, _question: SharedQuestion) -> BoxFuture<'_, ReaderAnswer> {
+    fn ask_until_fresh(
+        &self,
+        _question: SharedQuestion,
+    ) -> BoxFuture<'_, ReaderAnswer> {
         Box::pin(std::future::pending())
     }
 
@@ -199,8 +202,8 @@
         collection: Collection::Declarations,
         wait: Duration::from_secs(4),
         pace: Duration::from_millis(10),
-        doubt: Duration::from_secs(4),
-        burst_pace: Duration::from_millis(300),
+        unlisted_grace: Duration::from_secs(4),
+        burst_read_interval: Duration::from_millis(300),
         settling,
         first_start,
         sharing: Some(Sharing { share, reader, bound: BOUND, watch: None }),
