--- a/crates/bench/src/distribute.rs
+++ b/crates/bench/src/distribute.rs
@@ -1,4 +1,5 @@
-//! How long until a version is live on N replicas, and what it cost.
+//! Time until a version is live on all replicas, and the traffic and CPU time
+//! that its distribution takes.
 
 use std::time::{Duration, Instant};
 
@@ -10,7 +11,7 @@
 use stairhinge_shell::http::Client;
 use stairhinge_standins::{EngineSettings, Pack, weights};
 
-use crate::report::{Spread, processor};
+use crate::report::{Spread, cpu_time};
 
 /// measure the time until a version is live on all replicas
 #[derive(FromArgs)]
@@ -22,14 +23,14 @@
     /// data halls
     #[argh(option, default = "3")]
     halls: usize,
-    /// bytes of the version, in MB
+    /// size of the version, in MB
     #[argh(option, default = "24")]
     size_mb: usize,
-    /// chunks of the version
+    /// number of chunks of the version
     #[argh(option, default = "96")]
     chunks: usize,
-    /// window in seconds: the origin's link carries four copies in it, a
-    /// machine's link two
+    /// window in seconds, in which the origin's link carries four copies and
+    /// a machine's link two
     #[argh(option, default = "12.0")]
     window_s: f64,
     /// direct, tree or own
@@ -38,19 +39,19 @@
     /// time or origin
     #[argh(option, default = "\"time\".into()")]
     prefer: String,
-    /// copies that may be drawn from the origin (default: by preference)
+    /// limit of copies fetched from the origin (default: by preference)
     #[argh(option)]
     budget: Option<u32>,
-    /// lines added to every agent's settings, with ; between
+    /// lines added to every agent's settings, separated by ;
     #[argh(option, default = "String::new()")]
     agent: String,
-    /// total (both directions on one link) or each
+    /// total (both directions share the link) or each
     #[argh(option, default = "\"each\".into()")]
     link: String,
     /// none, kill, corrupt, quota, late, restart or supersede
     #[argh(option, default = "\"none\".into()")]
     fault: String,
-    /// runs
+    /// number of runs
     #[argh(option, default = "1")]
     runs: usize,
     /// print a JSON object as the last line
@@ -58,31 +59,31 @@
     json: bool,
 }
 
-/// The figures of one run.
+/// The results of one run.
 struct Run {
     live_s: f64,
     origin: f64,
     far: f64,
-    most_sent: f64,
+    max_sent: f64,
     corrupt: u64,
     control: f64,
     cpu: f64,
 }
 
-/// How long a run may take, in windows.
-const PATIENCE: f64 = 12.0;
+/// Timeout of a run, in windows.
+const TIMEOUT_WINDOWS: f64 = 12.0;
 
 pub async fn run(args: &Args) -> eyre::Result<()> {
     let mut runs = Vec::new();
     for i in 0..args.runs.max(1) {
-        runs.push(one(args, i as u64 + 1).await?);
+        runs.push(run_once(args, i as u64 + 1).await?);
     }
     let spread = |f: fn(&Run) -> f64| {
         Spread::of(&runs.iter().map(f).collect::<Vec<_>>())
     };
     let live = spread(|r| r.live_s);
     let origin = spread(|r| r.origin);
-    let limit = limit(args);
+    let limit = min_duration_s(args);
     let ratio = live.median / limit;
     println!(
         "{} {} replicas in {} halls, prefer {}, link {}, fault {}: live \
@@ -102,7 +103,7 @@
     );
     if args.json {
         let far = spread(|r| r.far);
-        let sent = spread(|r| r.most_sent);
+        let sent = spread(|r| r.max_sent);
         let json = json!({
             "strategy": args.strategy,
             "replicas": args.replicas,
@@ -130,7 +131,7 @@
     Ok(())
 }
 
-fn limit(args: &Args) -> f64 {
+fn min_duration_s(args: &Args) -> f64 {
     let link = if args.link == "total" { Duplex::Half } else { Duplex::Full };
     let window = Duration::from_secs_f64(args.window_s);
     let copies = match args.prefer.as_str() {
@@ -176,15 +177,16 @@
     .with_window(Duration::from_secs_f64(args.window_s))
 }
 
-async fn one(args: &Args, seed: u64) -> eyre::Result<Run> {
+async fn run_once(args: &Args, seed: u64) -> eyre::Result<Run> {
     let plan = plan(args);
     let mut local = Local::start(plan).await?;
-    // A small version first, so that all are up and know each other.
+    // Publishes a small version first, so that all agents are ready and know
+    // each other.
     let first = Pack::new(&weights(1_000 + seed, 64 << 10), 16 << 10)?;
     local.publish_pack("warm", &first);
     let ready = Duration::from_secs(60);
     if !local.await_live("warm", args.replicas, ready).await {
-        return Err(eyre::eyre!("the fleet does not come up"));
+        return Err(eyre::eyre!("the agents did not become ready in time"));
     }
     let late = match args.fault.as_str() {
         "late" => Some(local.agents()[0].clone()),
@@ -203,74 +205,79 @@
     }
     let before = totals(&local).await;
     let sent = local.origin().sent();
-    let (cpu, wire) = (processor(), control(&local).await);
+    let (cpu, control_before) = (cpu_time(), control_bytes(&local).await);
     let start = Instant::now();
     local.publish_pack("burst", &pack);
-    let half = Duration::from_secs_f64(args.window_s / 4.0);
-    inject(args, &mut local, half, late.as_deref(), seed).await?;
-    let patience = Duration::from_secs_f64(args.window_s * PATIENCE);
+    let quarter_window = Duration::from_secs_f64(args.window_s / 4.0);
+    inject_fault(args, &mut local, quarter_window, late.as_deref(), seed)
+        .await?;
+    let timeout = Duration::from_secs_f64(args.window_s * TIMEOUT_WINDOWS);
     let last = if args.fault == "supersede" { "later" } else { "burst" };
-    if !local.await_live(last, args.replicas, patience).await {
-        return Err(eyre::eyre!("{last} is not live after {patience:?}"));
+    if !local.await_live(last, args.replicas, timeout).await {
+        return Err(eyre::eyre!(
+            "version {last} is not live after {timeout:?}"
+        ));
     }
     let live_s = start.elapsed().as_secs_f64();
-    let cpu = (processor() - cpu).as_secs_f64();
+    let cpu = (cpu_time() - cpu).as_secs_f64();
     let after = totals(&local).await;
     let size = pack.size() as f64;
-    let mut most_sent = 0.0f64;
+    let mut max_sent = 0.0f64;
     let mut far = 0.0;
     let mut corrupt = 0;
     for (a, b) in after.iter().zip(&before) {
-        most_sent = most_sent.max((a.sent - b.sent).max(0.0) / size);
+        max_sent = max_sent.max((a.sent - b.sent).max(0.0) / size);
         far += (a.far - b.far).max(0.0) / size;
-        // What peers sent; the origin's are not served by the system.
+        // Counts only chunks from peers; corrupt ones from the origin aren't
+        // served by the system.
         corrupt += (a.corrupt - b.corrupt).max(0.0) as u64;
     }
     let count = args.replicas as f64;
-    let after_wire = control(&local).await;
-    let control = after_wire.iter().zip(&wire).map(|(a, b)| a - b);
+    let control_after = control_bytes(&local).await;
+    let control =
+        control_after.iter().zip(&control_before).map(|(a, b)| a - b);
     Ok(Run {
         live_s,
         origin: (local.origin().sent() - sent) as f64 / size,
         far,
-        most_sent,
+        max_sent,
         corrupt,
         control: control.fold(0.0, f64::max) / live_s,
         cpu: cpu / live_s / count,
     })
 }
 
-async fn inject(
+async fn inject_fault(
     args: &Args,
     local: &mut Local,
-    half: Duration,
+    quarter_window: Duration,
     late: Option<&str>,
     seed: u64,
 ) -> eyre::Result<()> {
     let names = local.agents();
     match args.fault.as_str() {
         "kill" => {
-            tokio::time::sleep(half).await;
+            tokio::time::sleep(quarter_window).await;
             local.kill(&names[0]);
-            tokio::time::sleep(half).await;
+            tokio::time::sleep(quarter_window).await;
             local.restart(&names[0])?;
         }
         "restart" => {
-            tokio::time::sleep(half).await;
+            tokio::time::sleep(quarter_window).await;
             for name in names.iter().step_by(3) {
                 local.kill(name);
                 local.restart(name)?;
             }
         }
         "late" => {
-            tokio::time::sleep(half * 2).await;
+            tokio::time::sleep(quarter_window * 2).await;
             if let Some(name) = late {
                 local.restart(name)?;
             }
         }
         "supersede" => {
-            tokio::time::sleep(half).await;
-            // Half of the bytes are those of the version before.
+            tokio::time::sleep(quarter_window).await;
+            // Half of the bytes are those of the previous version.
             let size = args.size_mb << 20;
             let mut bytes = weights(seed, size).to_vec();
             let other = weights(seed + 500, size);
@@ -283,7 +290,7 @@
     Ok(())
 }
 
-/// The counters of one agent.
+/// Counters of one agent.
 #[derive(Clone, Copy, Default)]
 struct Totals {
     sent: f64,
@@ -295,29 +302,31 @@
     let mut totals = Vec::new();
     for text in metrics(local).await {
         totals.push(Totals {
-            sent: metric(&text, "stairhinge_weights_sent_bytes_total"),
-            far: metric(
+            sent: metric_value(&text, "stairhinge_weights_sent_bytes_total"),
+            far: metric_value(
                 &text,
                 "stairhinge_weights_received_bytes_total{source=\"far\"}",
             ),
-            corrupt: spoiled(&text, "near") + spoiled(&text, "far"),
+            corrupt: corrupt_chunks(&text, "near")
+                + corrupt_chunks(&text, "far"),
         });
     }
     totals
 }
 
-fn spoiled(text: &str, source: &str) -> f64 {
+fn corrupt_chunks(text: &str, source: &str) -> f64 {
     let name = "stairhinge_chunks_corrupt_total";
-    metric(text, &format!("{name}{{source=\"{source}\"}}"))
+    metric_value(text, &format!("{name}{{source=\"{source}\"}}"))
 }
 
-async fn control(local: &Local) -> Vec<f64> {
+async fn control_bytes(local: &Local) -> Vec<f64> {
     let texts = metrics(local).await;
     let name = "stairhinge_control_bytes_total";
-    texts.iter().map(|t| metric(t, name)).collect()
+    texts.iter().map(|t| metric_value(t, name)).collect()
 }
 
-/// The metrics of all agents, as an operator would read them.
+/// Returns the metrics of all agents, read from their HTTP endpoints; empty
+/// for an agent that doesn't answer.
 pub async fn metrics(local: &Local) -> Vec<String> {
     let client = Client::new();
     let within = Duration::from_secs(5);
@@ -333,8 +342,8 @@
     texts
 }
 
-/// The value of one line of metrics.
-pub fn metric(text: &str, name: &str) -> f64 {
+/// Returns the value of one metric line, or zero if there is none.
+pub fn metric_value(text: &str, name: &str) -> f64 {
     for line in text.lines() {
         let Some(rest) = line.strip_prefix(name) else { continue };
         if let Ok(value) = rest.trim().parse() {
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,5 +1,5 @@
-//! `stairhinge-bench`: load and experiments over real agents and entries on
-//! loopback sockets, with the stand-ins and with baselines.
+//! `stairhinge-bench`: load tests and experiments with real agents and entries
+//! on loopback sockets, simulated engines and baselines.
 
 mod distribute;
 mod report;
@@ -9,16 +9,16 @@
 use argh::FromArgs;
 
 /// Measures stairhinge on loopback: distribution of weights, serving under
-/// load, and how control grows with the number of peers.
+/// load, and how control traffic grows with the number of peers.
 #[derive(FromArgs)]
 struct Args {
     #[argh(subcommand)]
-    what: What,
+    command: Command,
 }
 
 #[derive(FromArgs)]
 #[argh(subcommand)]
-enum What {
+enum Command {
     Distribute(distribute::Args),
     Serve(serve::Args),
     Slopes(slopes::Args),
@@ -31,9 +31,9 @@
         .enable_all()
         .build()?;
     stairhinge_shell::start_logs("off");
-    match args.what {
-        What::Distribute(args) => runtime.block_on(distribute::run(&args)),
-        What::Serve(args) => runtime.block_on(serve::run(&args)),
-        What::Slopes(args) => runtime.block_on(slopes::run(&args)),
+    match args.command {
+        Command::Distribute(args) => runtime.block_on(distribute::run(&args)),
+        Command::Serve(args) => runtime.block_on(serve::run(&args)),
+        Command::Slopes(args) => runtime.block_on(slopes::run(&args)),
     }
 }
--- a/crates/bench/src/serve.rs
+++ b/crates/bench/src/serve.rs
@@ -10,9 +10,9 @@
 use stairhinge_shell::http::Client;
 use stairhinge_standins::EngineSettings;
 
-use crate::report::processor;
+use crate::report::cpu_time;
 
-/// send requests at a rate, whatever becomes of them, and measure
+/// send requests at a fixed rate, independent of answers, and measure
 #[derive(FromArgs)]
 #[argh(subcommand, name = "serve")]
 pub struct Args {
@@ -22,16 +22,16 @@
     /// data halls
     #[argh(option, default = "3")]
     halls: usize,
-    /// load in parts of the engines' capacity
+    /// offered load, relative to the engines' capacity
     #[argh(option, default = "1.0")]
     load: f64,
-    /// seconds
+    /// duration in seconds
     #[argh(option, default = "6.0")]
     seconds: f64,
-    /// tokens of each answer
+    /// tokens per answer
     #[argh(option, default = "32")]
     tokens: u32,
-    /// none or kill: a third of the agents die after a third of the time
+    /// none or kill: kill a third of the agents after a third of the requests
     #[argh(option, default = "\"none\".into()")]
     fault: String,
     /// print a JSON object as the last line
@@ -39,42 +39,43 @@
     json: bool,
 }
 
-const STEP: Duration = Duration::from_millis(9);
-const BATCH: usize = 8;
+const ENGINE_STEP: Duration = Duration::from_millis(9);
+const ENGINE_BATCH: usize = 8;
 
 /// The deadline of each request.
 const DEADLINE: Duration = Duration::from_secs(3);
 
-/// Two large workspaces and a small one, by their part of the requests.
-const PARTS: [(&str, f64); 3] = [("counter", 0.5), ("web", 0.45), ("", 0.05)];
+/// Two large workspaces and a small one, with their shares of the requests.
+const WORKSPACE_SHARES: [(&str, f64); 3] =
+    [("counter", 0.5), ("web", 0.45), ("", 0.05)];
 
 pub async fn run(args: &Args) -> eyre::Result<()> {
     let plan = Plan {
         halls: args.halls,
         replicas: args.replicas,
         engine: EngineSettings {
-            step: STEP,
-            batch: BATCH,
+            step: ENGINE_STEP,
+            batch: ENGINE_BATCH,
             queue: 4,
             fences: true,
         },
-        // An entry's share of the engines' places, and as many waiting.
+        // Each entry gets its share of the batch slots, and a queue.
         entry: format!(
             "running: {}\nqueued: 64\nusual_ms: {}\n",
-            (BATCH * args.replicas).div_ceil(args.halls),
-            (STEP * args.tokens).as_millis(),
+            (ENGINE_BATCH * args.replicas).div_ceil(args.halls),
+            (ENGINE_STEP * args.tokens).as_millis(),
         ),
         ..Plan::default()
     };
     let mut trial = Trial::start(plan).await?;
-    let span = STEP.as_secs_f64() * f64::from(args.tokens);
-    let capacity = (BATCH * args.replicas) as f64 / span;
+    let answer_time = ENGINE_STEP.as_secs_f64() * f64::from(args.tokens);
+    let capacity = (ENGINE_BATCH * args.replicas) as f64 / answer_time;
     let rate = capacity * args.load;
-    let cpu = processor();
+    let cpu = cpu_time();
     let start = Instant::now();
     let calls = load(args, &mut trial, rate).await?;
     let wall = start.elapsed().as_secs_f64();
-    let cpu = (processor() - cpu).as_secs_f64();
+    let cpu = (cpu_time() - cpu).as_secs_f64();
     let mut first = Histogram::<u64>::new(3)?;
     let mut gaps = Histogram::<u64>::new(3)?;
     let mut codes: BTreeMap<u16, u64> = BTreeMap::new();
@@ -149,11 +150,11 @@
     let count = (rate * args.seconds) as usize;
     let start = tokio::time::Instant::now();
     let mut tasks = Vec::new();
-    let dies = if args.fault == "kill" { count / 3 } else { count + 1 };
+    let kill_at = if args.fault == "kill" { count / 3 } else { count + 1 };
     for i in 0..count {
         let at = start + Duration::from_secs_f64(i as f64 / rate);
         tokio::time::sleep_until(at).await;
-        if i == dies {
+        if i == kill_at {
             let names = trial.local.agents();
             for name in names.iter().step_by(3) {
                 trial.local.kill(name);
@@ -175,15 +176,15 @@
 
 fn caller(i: usize, tokens: u32) -> Caller {
     let caller = Caller::new(format!("load {i}")).with_tokens(tokens);
-    // A fixed pattern: the same requests in each run.
-    let mut place = (i * 37 % 100) as f64 / 100.0;
+    // A fixed pattern, so that each run sends the same requests.
+    let mut position = (i * 37 % 100) as f64 / 100.0;
     let mut workspace = None;
-    for (name, part) in PARTS {
-        if place < part {
+    for (name, share) in WORKSPACE_SHARES {
+        if position < share {
             workspace = (!name.is_empty()).then(|| name.to_string());
             break;
         }
-        place -= part;
+        position -= share;
     }
     Caller { workspace, deadline: Some(DEADLINE), ..caller }
 }
