--- a/crates/model/src/config.rs
+++ b/crates/model/src/config.rs
@@ -1,27 +1,27 @@
-//! Configuration: acceptance, stale answers, restarts, and where work runs.
+//! Configuration updates: acceptance, stale reads, restarts, execution.
 //!
-//! An agent with its engine, an entry and a peer. The platform publishes
-//! revisions and may answer with any of them, as a stale service does. Any
-//! two processes may exchange, any may restart and forget; the agent's engine
-//! remembers the fence of the last order.
+//! Models an agent with its engine, an entry and a peer. The platform
+//! publishes revisions; a read may return any published one, as a stale store
+//! does. Any two processes may exchange documents, and any process may restart
+//! and lose its state. The engine keeps the fence of the last order.
 
 use stairhinge::document::{Document, LatestDocument, Seen};
 use stairhinge::serving::Fence;
 
 use crate::Spec;
 
-/// A rule that a mutant leaves out.
+/// A protocol rule that a mutant omits.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Without {
-    /// Nothing: the protocol as it is.
+    /// No rule: the unmodified protocol.
     Nothing,
-    /// Only newer documents are taken.
+    /// A process accepts only documents newer than its own.
     Monotony,
-    /// A restarted agent takes nothing below what its engine remembers.
+    /// A restarted agent accepts no revision below its engine's fence.
     Floor,
-    /// Nothing is admitted before the engine has been told of the revision.
+    /// An agent admits nothing before its engine knows the current revision.
     Telling,
-    /// A request is admitted only under the revision in force at the agent.
+    /// A request is admitted only under the agent's current revision.
     Equality,
 }
 
@@ -38,18 +38,18 @@
 /// Bounds of the exploration.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Revisions that are published.
+    /// Revisions that the platform publishes.
     pub revisions: u64,
-    /// Restarts, of all processes together.
+    /// Total restarts of all processes.
     pub restarts: u8,
-    /// Requests sent.
+    /// Requests that the entry sends.
     pub requests: u8,
 }
 
 /// The specification.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// The rule left out.
+    /// The omitted rule.
     pub without: Without,
     /// The bounds.
     pub bounds: Bounds,
@@ -59,22 +59,22 @@
 const ENTRY: usize = 1;
 const NAMES: [&str; 3] = ["agent", "entry", "peer"];
 
-/// A state of the whole system.
+/// A state of the modelled system.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct State {
     published: u64,
-    held: Vec<LatestDocument>,
+    latest: Vec<LatestDocument>,
     engine: Fence,
     fence: Fence,
-    /// The revision that the engine was told of by this incarnation.
-    told: u64,
+    /// The revision that this agent incarnation last sent to the engine.
+    engine_revision: u64,
     restarts: u8,
     requests: u8,
-    /// Revisions of requests on their way to the agent.
-    sent: Vec<u64>,
-    /// The newest revision under which work ran at the agent.
-    worked: u64,
-    broken: Option<&'static str>,
+    /// Revisions of requests in transit to the agent.
+    in_transit: Vec<u64>,
+    /// The newest revision under which the agent ran a request.
+    executed_revision: u64,
+    violation: Option<&'static str>,
 }
 
 fn document(revision: u64) -> Document {
@@ -82,19 +82,19 @@
 }
 
 impl Config {
-    fn offer(&self, held: &mut LatestDocument, revision: u64) -> bool {
+    fn offer(&self, latest: &mut LatestDocument, revision: u64) -> bool {
         if self.without == Without::Monotony {
-            let newest = held.seen().revision();
-            *held = LatestDocument::new();
-            return held.offer(document(revision)).is_ok()
+            let newest = latest.seen().revision();
+            *latest = LatestDocument::new();
+            return latest.offer(document(revision)).is_ok()
                 && revision != newest;
         }
-        let before = held.seen();
-        let _ = held.offer(document(revision));
-        held.seen() != before
+        let before = latest.seen();
+        let _ = latest.offer(document(revision));
+        latest.seen() != before
     }
 
-    fn spread(&self, state: &State, next: &mut Vec<(String, State)>) {
+    fn distribute(&self, state: &State, next: &mut Vec<(String, State)>) {
         if state.published < self.bounds.revisions {
             let mut to = state.clone();
             to.published += 1;
@@ -103,18 +103,18 @@
         for (p, name) in NAMES.iter().enumerate() {
             for revision in 1..=state.published {
                 let mut to = state.clone();
-                if self.offer(&mut to.held[p], revision) {
+                if self.offer(&mut to.latest[p], revision) {
                     next.push((format!("{name} reads {revision}"), to));
                 }
             }
             for (q, other) in NAMES.iter().enumerate() {
-                let theirs = state.held[q].seen().revision();
+                let theirs = state.latest[q].seen().revision();
                 let mut to = state.clone();
                 if p == q || theirs == 0 {
                     continue;
                 }
-                if self.offer(&mut to.held[p], theirs) {
-                    let step = format!("{name} takes {theirs} from {other}");
+                if self.offer(&mut to.latest[p], theirs) {
+                    let step = format!("{name} accepts {theirs} from {other}");
                     next.push((step, to));
                 }
             }
@@ -128,56 +128,64 @@
         for (p, name) in NAMES.iter().enumerate() {
             let mut to = state.clone();
             to.restarts += 1;
-            to.held[p] = LatestDocument::new();
+            to.latest[p] = LatestDocument::new();
             if p == AGENT {
                 let floor = state.engine.revision();
                 if self.without != Without::Floor {
-                    to.held[p] = LatestDocument::with_min_revision(floor);
+                    to.latest[p] = LatestDocument::with_min_revision(floor);
                 }
                 let wall = state.fence.incarnation() + 1;
                 let incarnation = Fence::next_incarnation(wall, state.engine);
                 to.fence = Fence::new(incarnation);
-                to.told = 0;
+                to.engine_revision = 0;
             }
             next.push((format!("{name} restarts"), to));
         }
     }
 
-    fn work(&self, state: &State, next: &mut Vec<(String, State)>) {
-        let mine = state.held[AGENT].seen().revision();
-        if mine > state.told {
+    fn execute(&self, state: &State, next: &mut Vec<(String, State)>) {
+        let mine = state.latest[AGENT].seen().revision();
+        if mine > state.engine_revision {
             let mut to = state.clone();
             to.fence = state.fence.next(mine);
             to.engine = to.fence.max(state.engine);
-            to.told = mine;
-            next.push((format!("agent tells its engine of {mine}"), to));
+            to.engine_revision = mine;
+            next.push((
+                format!("agent sends revision {mine} to its engine"),
+                to,
+            ));
         }
-        let theirs = state.held[ENTRY].seen().revision();
+        let theirs = state.latest[ENTRY].seen().revision();
         if theirs > 0 && state.requests < self.bounds.requests {
             let mut to = state.clone();
             to.requests += 1;
-            to.sent.push(theirs);
-            to.sent.sort_unstable();
-            next.push((format!("entry sends under {theirs}"), to));
+            to.in_transit.push(theirs);
+            to.in_transit.sort_unstable();
+            next.push((format!("entry sends a request under {theirs}"), to));
         }
-        for (i, revision) in state.sent.iter().enumerate() {
+        for (i, revision) in state.in_transit.iter().enumerate() {
             let mut to = state.clone();
-            to.sent.remove(i);
+            to.in_transit.remove(i);
             let equal = *revision == mine || self.without == Without::Equality;
-            let told = state.told >= mine || self.without == Without::Telling;
-            if mine == 0 || !equal || !told {
-                next.push((format!("agent refuses one under {revision}"), to));
+            let engine_told = state.engine_revision >= mine
+                || self.without == Without::Telling;
+            if mine == 0 || !equal || !engine_told {
+                next.push((
+                    format!("agent refuses a request under {revision}"),
+                    to,
+                ));
                 continue;
             }
-            if mine < state.worked {
-                to.broken = Some("work ran under an older revision again");
+            if mine < state.executed_revision {
+                to.violation = Some("work ran under an older revision again");
             }
             if *revision < mine {
-                to.broken = Some("an old configuration took effect");
+                to.violation = Some("an old configuration took effect");
             }
-            to.worked = state.worked.max(mine);
-            let step =
-                format!("agent runs one under {revision}, in force {mine}");
+            to.executed_revision = state.executed_revision.max(mine);
+            let step = format!(
+                "agent runs a request under {revision}, current {mine}"
+            );
             next.push((step, to));
         }
     }
@@ -189,36 +197,36 @@
     fn start(&self) -> State {
         State {
             published: 0,
-            held: vec![LatestDocument::new(); NAMES.len()],
+            latest: vec![LatestDocument::new(); NAMES.len()],
             engine: Fence::default(),
             fence: Fence::new(1),
-            told: 0,
+            engine_revision: 0,
             restarts: 0,
             requests: 0,
-            sent: Vec::new(),
-            worked: 0,
-            broken: None,
+            in_transit: Vec::new(),
+            executed_revision: 0,
+            violation: None,
         }
     }
 
     fn steps(&self, state: &State) -> Vec<(String, State)> {
         let mut next = Vec::new();
-        self.spread(state, &mut next);
+        self.distribute(state, &mut next);
         self.restart(state, &mut next);
-        self.work(state, &mut next);
+        self.execute(state, &mut next);
         for (_, to) in &mut next {
-            for (p, was) in state.held.iter().enumerate() {
-                let (old, new) = (was.seen(), to.held[p].seen());
+            for (p, was) in state.latest.iter().enumerate() {
+                let (old, new) = (was.seen(), to.latest[p].seen());
                 let forgot = new == Seen::nothing();
                 if new.revision() < old.revision() && !forgot {
-                    to.broken = Some("a process went back to an older one");
+                    to.violation = Some("a process went back to an older one");
                 }
             }
         }
         next
     }
 
-    fn broken(&self, state: &State) -> Option<&'static str> {
-        state.broken
+    fn violation(&self, state: &State) -> Option<&'static str> {
+        state.violation
     }
 }
--- a/crates/model/src/explore.rs
+++ b/crates/model/src/explore.rs
@@ -7,49 +7,49 @@
 
 use pathfinding::directed::bfs::{bfs, bfs_reach};
 
-/// A specification: states, steps between them, and what must hold.
+/// A specification: states, transitions and safety properties.
 pub trait Spec {
-    /// A state of the whole system.
+    /// A state of the modelled system.
     type State: Clone + Debug + Eq + Hash;
 
-    /// Returns the first state.
+    /// Returns the initial state.
     fn start(&self) -> Self::State;
 
-    /// Returns each step from a state: its name and the state after it.
+    /// Returns each transition from a state: its name and its successor state.
     fn steps(&self, state: &Self::State) -> Vec<(String, Self::State)>;
 
-    /// Returns which property a state breaks, if any.
-    fn broken(&self, state: &Self::State) -> Option<&'static str>;
+    /// Returns the property that a state violates, if any.
+    fn violation(&self, state: &Self::State) -> Option<&'static str>;
 }
 
-/// A property that fails, and the shortest way there.
+/// A violated property and a shortest trace to it.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Finding {
-    /// The property.
+pub struct Counterexample {
+    /// The violated property.
     pub property: &'static str,
-    /// The names of the steps, first to last.
+    /// The names of the transitions, in order.
     pub trace: Vec<String>,
 }
 
-/// What an exploration came to.
+/// The result of an exploration.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Outcome {
-    /// States reached.
+    /// Number of states reached.
     pub states: usize,
-    /// The first failure, if any.
-    pub finding: Option<Finding>,
+    /// The first violation found, if any.
+    pub counterexample: Option<Counterexample>,
 }
 
-/// Explores all states of a specification.
+/// Explores the reachable states of a specification breadth first.
 ///
-/// States beyond one that breaks a property are not explored: that one is
-/// the shortest counterexample.
+/// Stops at the first state that violates a property, so that the trace to it
+/// is a shortest counterexample.
 pub fn explore<S: Spec>(spec: &S) -> Outcome {
     let start = spec.start();
-    let broken = RefCell::new(None);
-    let after = |state: &S::State| {
+    let violating = RefCell::new(None);
+    let successors = |state: &S::State| {
         let mut next = Vec::new();
-        if spec.broken(state).is_some() {
+        if spec.violation(state).is_some() {
             return next;
         }
         let mut seen = HashSet::new();
@@ -61,23 +61,26 @@
         next
     };
     let mut states = 0;
-    for state in bfs_reach(start.clone(), &after) {
+    for state in bfs_reach(start.clone(), &successors) {
         states += 1;
-        if spec.broken(&state).is_some() {
-            broken.replace(Some(state));
+        if spec.violation(&state).is_some() {
+            violating.replace(Some(state));
             break;
         }
     }
-    let Some(goal) = broken.into_inner() else {
-        return Outcome { states, finding: None };
+    let Some(goal) = violating.into_inner() else {
+        return Outcome { states, counterexample: None };
     };
-    let path = bfs(&start, &after, |s| *s == goal).unwrap_or_default();
+    let path = bfs(&start, &successors, |s| *s == goal).unwrap_or_default();
     let mut trace = Vec::new();
     for pair in path.windows(2) {
         let steps = spec.steps(&pair[0]);
         let taken = steps.into_iter().find(|(_, to)| *to == pair[1]);
         trace.extend(taken.map(|(name, _)| name));
     }
-    let property = spec.broken(&goal).unwrap_or_default();
-    Outcome { states, finding: Some(Finding { property, trace }) }
+    let property = spec.violation(&goal).unwrap_or_default();
+    Outcome {
+        states,
+        counterexample: Some(Counterexample { property, trace }),
+    }
 }
--- a/crates/model/src/gate.rs
+++ b/crates/model/src/gate.rs
@@ -1,10 +1,10 @@
-//! The version gate: two agent processes, one engine, orders that arrive
-//! late, and requests bound to what was loaded.
+//! The version gate: two agent processes, one engine, delayed load orders,
+//! and requests bound to a loaded version.
 //!
-//! The old agent may be frozen anywhere; the new one starts beside it, as if
-//! the lock of the slot had failed. Orders are messages that may arrive in
-//! any order. A request is bound at admission; the engine answers from what
-//! it holds, with an echo.
+//! The old agent may pause at any step; the new one starts concurrently, as if
+//! the slot lock had failed. Load orders may arrive in any order. A request is
+//! bound to a version and fence at admission; the engine answers with its
+//! loaded version and echoes that version and its fence.
 
 use stairhinge::Digest;
 use stairhinge::serving::{
@@ -13,22 +13,22 @@
 
 use crate::Spec;
 
-/// A rule that a mutant leaves out.
+/// A protocol rule that a mutant omits.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Without {
-    /// Nothing: the protocol as it is.
+    /// No rule: the unmodified protocol.
     Nothing,
-    /// An answer that does not fit what its request was bound to is withheld.
+    /// An agent withholds an answer whose echo doesn't match the request.
     Echo,
-    /// An engine that checks fences refuses those lower than its own.
+    /// An engine that checks fences refuses orders with a lower fence.
     Fences,
-    /// Only a serving agent admits.
+    /// Only a serving agent admits requests.
     Gate,
-    /// A switch waits until nothing is in progress.
+    /// A version switch waits until no request is in progress.
     Draining,
 }
 
-/// Each rule, with the kind of engine that needs it.
+/// Each rule, and whether the engine of its mutant checks fences.
 pub const CASES: [(Without, bool); 4] = [
     (Without::Echo, false),
     (Without::Fences, true),
@@ -41,14 +41,14 @@
 pub struct Bounds {
     /// Requests sent to each agent.
     pub requests: u8,
-    /// Orders that an agent gives at most.
+    /// Maximum load orders of each agent.
     pub orders: u8,
 }
 
 /// The specification.
 #[derive(Clone, Copy, Debug)]
 pub struct Gate {
-    /// The rule left out.
+    /// The omitted rule.
     pub without: Without,
     /// Whether the engine checks fences.
     pub fences: bool,
@@ -59,17 +59,17 @@
 /// One agent process.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 struct Agent {
-    life: Lifecycle,
+    lifecycle: Lifecycle,
     fence: Fence,
     orders: u8,
     bound: Option<LoadedTarget>,
-    /// Requests in progress, with what they were bound to.
+    /// The targets that requests in progress are bound to.
     running: Vec<LoadedTarget>,
     requests: u8,
     started: bool,
 }
 
-/// A load order on its way.
+/// A load order in transit.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 struct Order {
     agent: usize,
@@ -77,14 +77,14 @@
     fence: Fence,
 }
 
-/// A state of the whole system.
+/// A state of the modelled system.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct State {
     agents: Vec<Agent>,
     orders: Vec<Order>,
     engine: Fence,
     loaded: Option<LoadedTarget>,
-    broken: Option<&'static str>,
+    violation: Option<&'static str>,
 }
 
 const OLD: usize = 0;
@@ -96,9 +96,9 @@
 }
 
 impl Gate {
-    /// The old agent serves v1 and is to switch to v2; the new one is to
-    /// serve v2 from the start.
-    fn wants(&self, a: usize) -> Vec<Target> {
+    /// Returns an agent's targets: the old agent serves v1 and then switches
+    /// to v2; the new one serves only v2.
+    fn targets(&self, a: usize) -> Vec<Target> {
         match a {
             OLD => vec![target("v1"), target("v2")],
             _ => vec![target("v2")],
@@ -107,15 +107,16 @@
 
     fn handle(&self, to: &mut State, a: usize, event: &Event) {
         let agent = &mut to.agents[a];
-        let actions = agent.life.handle(event);
-        if agent.life.serving().is_none() && self.without != Without::Gate {
+        let actions = agent.lifecycle.handle(event);
+        if agent.lifecycle.serving().is_none() && self.without != Without::Gate
+        {
             agent.bound = None;
         }
         for action in actions {
             let Action::Load(target) = action else { continue };
             let agent = &mut to.agents[a];
             if agent.orders >= self.bounds.orders {
-                // Beyond the bound a refused agent tries no more.
+                // A refused agent stops retrying at the bound.
                 continue;
             }
             agent.fence = agent.fence.next(1);
@@ -127,36 +128,37 @@
 
     fn drive(&self, state: &State, a: usize, next: &mut Vec<(String, State)>) {
         let agent = &state.agents[a];
-        let who = NAMES[a];
-        for target in self.wants(a) {
+        let agent_name = NAMES[a];
+        for target in self.targets(a) {
             let version = target.version().clone();
-            if agent.life.wanted() != Some(&target) {
+            if agent.lifecycle.wanted() != Some(&target) {
                 let mut to = state.clone();
                 self.handle(&mut to, a, &Event::Wanted(Some(target)));
-                next.push((format!("{who} is to serve {version}"), to));
+                next.push((format!("{agent_name} gets target {version}"), to));
                 continue;
             }
             let mut to = state.clone();
             self.handle(&mut to, a, &Event::Fetched(target));
             if to != *state {
-                next.push((format!("{who} has fetched {version}"), to));
+                next.push((format!("{agent_name} has fetched {version}"), to));
             }
         }
-        let phase = agent.life.phase();
-        if agent.life.awaits_turn() {
+        let phase = agent.lifecycle.phase();
+        if agent.lifecycle.awaits_turn() {
             let mut to = state.clone();
             self.handle(&mut to, a, &Event::Turn);
-            next.push((format!("{who} drains"), to));
+            next.push((format!("{agent_name} starts to drain"), to));
         }
         let idle = agent.running.is_empty();
         let drained = idle || self.without == Without::Draining;
         if phase == Phase::Draining && drained {
             let mut to = state.clone();
             if !idle {
-                to.broken = Some("an order was given with work in progress");
+                to.violation =
+                    Some("an order was given with work in progress");
             }
             self.handle(&mut to, a, &Event::Idle);
-            next.push((format!("{who} has drained"), to));
+            next.push((format!("{agent_name} has drained"), to));
         }
     }
 
@@ -164,18 +166,18 @@
         for (i, order) in state.orders.iter().enumerate() {
             let mut to = state.clone();
             to.orders.remove(i);
-            let who = NAMES[order.agent];
+            let agent_name = NAMES[order.agent];
             let version = order.target.version();
             let low = order.fence < state.engine;
             let checks = self.fences && self.without != Without::Fences;
             if low && checks {
                 self.handle(&mut to, order.agent, &Event::LoadFailed);
-                let step = format!("engine refuses {who}'s {version}");
+                let step = format!("engine refuses {agent_name}'s {version}");
                 next.push((step, to));
                 continue;
             }
             if low && self.fences {
-                to.broken = Some("an engine went back to an older agent");
+                to.violation = Some("an engine went back to an older agent");
             }
             let bound = LoadedTarget::new(order.target.clone(), order.fence);
             to.engine = order.fence;
@@ -183,26 +185,27 @@
             let event = Event::Loaded(order.target.clone());
             self.handle(&mut to, order.agent, &event);
             let agent = &mut to.agents[order.agent];
-            if agent.life.serving() == Some(&order.target) {
+            if agent.lifecycle.serving() == Some(&order.target) {
                 agent.bound = Some(bound);
             }
-            next.push((format!("engine loads {who}'s {version}"), to));
+            next.push((format!("engine loads {agent_name}'s {version}"), to));
         }
     }
 
     fn serve(&self, state: &State, a: usize, next: &mut Vec<(String, State)>) {
         let agent = &state.agents[a];
-        let who = NAMES[a];
+        let agent_name = NAMES[a];
         if let Some(bound) = &agent.bound
             && agent.requests < self.bounds.requests
         {
             let mut to = state.clone();
-            if agent.life.phase() != Phase::Serving {
-                to.broken = Some("admitted by an agent that does not serve");
+            if agent.lifecycle.phase() != Phase::Serving {
+                to.violation =
+                    Some("admitted by an agent that does not serve");
             }
             to.agents[a].requests += 1;
             to.agents[a].running.push(bound.clone());
-            next.push((format!("{who} admits a request"), to));
+            next.push((format!("{agent_name} admits a request"), to));
         }
         let Some(bound) = agent.running.first() else { return };
         let mut to = state.clone();
@@ -213,17 +216,20 @@
         };
         let fits = bound.matches(&version, &fence);
         if self.fences && !fits {
-            next.push((format!("engine refuses {who}'s request"), to));
+            next.push((format!("engine refuses {agent_name}'s request"), to));
             return;
         }
         if !fits && self.without != Without::Echo {
-            next.push((format!("{who} withholds an answer"), to));
+            next.push((format!("{agent_name} withholds an answer"), to));
             return;
         }
         if version != *bound.target().version() {
-            to.broken = Some("an answer from another version");
+            to.violation = Some("an answer from another version");
         }
-        next.push((format!("{who} passes on an answer of {version}"), to));
+        next.push((
+            format!("{agent_name} forwards an answer of {version}"),
+            to,
+        ));
     }
 }
 
@@ -232,7 +238,7 @@
 
     fn start(&self) -> State {
         let agent = |incarnation, started| Agent {
-            life: Lifecycle::new(),
+            lifecycle: Lifecycle::new(),
             fence: Fence::new(incarnation),
             orders: 0,
             bound: None,
@@ -245,7 +251,7 @@
             orders: Vec::new(),
             engine: Fence::default(),
             loaded: None,
-            broken: None,
+            violation: None,
         }
     }
 
@@ -267,7 +273,7 @@
         next
     }
 
-    fn broken(&self, state: &State) -> Option<&'static str> {
-        state.broken
+    fn violation(&self, state: &State) -> Option<&'static str> {
+        state.violation
     }
 }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,12 +1,13 @@
 //! Exhaustive checking of stairhinge's core protocol.
 //!
-//! Five small specifications, each explored breadth first over the project's
-//! own decision code: [`once`] (at most once with keys, revokes, restarts and
-//! pauses), [`config`] (acceptance, restarts, stale answers), [`gate`] (version
-//! gate and fences, old and new agents), [`send_once`] (direct serving) and
-//! [`quarantine`] (requests that end replicas). For each rule there is a mutant
-//! without it, and the shortest trace on which a property then fails.
-//! `docs/MODEL.md` says what is in and what lies outside.
+//! Five small specifications call the production decision code and are
+//! explored breadth first: [`once`] (at-most-once execution with keys,
+//! revocations, restarts and pauses), [`config`] (configuration updates,
+//! restarts, stale reads), [`gate`] (version gate and fencing between an old
+//! and a new agent), [`send_once`] (retries in direct serving) and
+//! [`quarantine`] (requests that crash replicas). For each rule, a mutant that
+//! omits it must violate a property; the explorer reports a shortest trace.
+//! `docs/MODEL.md` describes the scope of the model.
 
 pub mod config;
 pub mod gate;
@@ -16,4 +17,4 @@
 
 mod explore;
 
-pub use self::explore::{Finding, Outcome, Spec, explore};
+pub use self::explore::{Counterexample, Outcome, Spec, explore};
--- a/crates/model/src/once.rs
+++ b/crates/model/src/once.rs
@@ -1,11 +1,11 @@
-//! At most once: one key, one guard, executing agents, entries that retry.
+//! At-most-once execution: one key, one guard, agents, retrying entries.
 //!
-//! A caller sends one keyed request that must not repeat through an entry,
-//! and sends it again through another. Each entry makes attempts, one after
-//! another; an attempt is a message that may arrive at any time or never. An
-//! agent admits it, claims the key, and orders the engine, with a pause of
-//! any length between any two of these. Agents and guard may restart, and
-//! entries revoke what they lost. The tables are the project's own.
+//! A caller sends a keyed, non-repeatable request through one entry and again
+//! through another. Each entry makes sequential attempts; an attempt is a
+//! message that arrives after any delay or never. An agent admits the attempt,
+//! claims the key and starts the engine, with a pause of any length between
+//! steps. Agents and guard may restart, and entries revoke attempts that they
+//! lost contact with. The tables are the production code.
 
 mod state;
 mod without;
@@ -19,7 +19,7 @@
 use stairhinge::serving::Lease;
 use stairhinge::{Ran, Time};
 
-use self::state::{Agent, At, Entry, Try};
+use self::state::{Agent, AttemptState, Entry, Stage};
 use crate::Spec;
 
 pub use self::state::State;
@@ -28,18 +28,18 @@
 /// Bounds of the exploration.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Ticks of the clock.
+    /// Clock ticks.
     pub ticks: u64,
     /// Attempts of the first entry; the second has one less.
     pub attempts: usize,
-    /// Restarts, of agents and guard together.
+    /// Total restarts of agents and guard.
     pub restarts: u8,
 }
 
 /// The specification.
 #[derive(Clone, Copy, Debug)]
 pub struct Once {
-    /// The rule left out.
+    /// The omitted rule.
     pub without: Without,
     /// The bounds.
     pub bounds: Bounds,
@@ -48,89 +48,91 @@
 const ENTRIES: usize = 2;
 const AGENTS: usize = 2;
 
-/// A tick is a second; the window is two, so a lease is one.
-const TICK: u64 = 1_000;
-const WINDOW: Duration = Duration::from_millis(2 * TICK);
+/// The key window is two ticks, so that a lease lasts one tick.
+const TICK_MS: u64 = 1_000;
+const WINDOW: Duration = Duration::from_millis(2 * TICK_MS);
 
-/// How long agents remember attempts: longer than any exploration runs,
-/// except for the rule about old words.
-const KEEP: Duration = Duration::from_millis(100 * TICK);
-const SHORT_KEEP: Duration = Duration::from_millis(2 * TICK);
+/// How long agents remember attempts: longer than any exploration, except
+/// for the mutant that trusts late "did not run" answers.
+const RETENTION: Duration = Duration::from_millis(100 * TICK_MS);
+const SHORT_RETENTION: Duration = Duration::from_millis(2 * TICK_MS);
 
-const MOST: usize = 100;
+const MAX_RECORDS: usize = 100;
 
-fn at(tick: u64) -> Time {
-    Time::from_millis(tick * TICK)
+fn tick_time(tick: u64) -> Time {
+    Time::from_millis(tick * TICK_MS)
 }
 
 fn key() -> Key {
     Key::received("w/k")
 }
 
-fn name(entry: usize, seq: usize) -> Attempt {
+fn attempt_id(entry: usize, seq: usize) -> Attempt {
     Attempt::new(["e0", "e1"][entry], 1, seq as u64)
 }
 
 impl Once {
-    /// The most attempts of an entry; the second entry has one less.
-    fn most(&self, entry: usize) -> usize {
+    /// Returns the attempt limit of an entry; the second entry has one less.
+    fn max_attempts(&self, entry: usize) -> usize {
         self.bounds.attempts.saturating_sub(entry).max(1)
     }
 
-    fn keep(&self) -> Duration {
+    fn retention(&self) -> Duration {
         match self.without {
-            Without::Settle => SHORT_KEEP,
-            _ => KEEP,
+            Without::Settle => SHORT_RETENTION,
+            _ => RETENTION,
         }
     }
 
-    fn attempts(&self, incarnation: u64) -> AttemptTable {
-        AttemptTable::new(incarnation, self.keep(), MOST)
+    fn attempt_table(&self, incarnation: u64) -> AttemptTable {
+        AttemptTable::new(incarnation, self.retention(), MAX_RECORDS)
     }
 
-    /// A guard's table; the mutant forgets as early as grants lapse.
-    fn keys(&self, start: Time) -> KeyTable {
+    /// Returns a guard's key table; the `Keeping` mutant forgets a grant as
+    /// soon as its lease expires.
+    fn key_table(&self, start: Time) -> KeyTable {
         let window = match self.without {
             Without::Keeping => WINDOW * 2 / 3,
             _ => WINDOW,
         };
-        KeyTable::new(start, window, MOST)
+        KeyTable::new(start, window, MAX_RECORDS)
     }
 
     fn send(&self, state: &State, next: &mut Vec<(String, State)>) {
         for (e, entry) in state.entries.iter().enumerate() {
-            let open = entry.tries.last().is_none_or(|t| t.said.is_some());
-            let full = entry.tries.len() >= self.most(e);
+            let open =
+                entry.attempts.last().is_none_or(|t| t.reported.is_some());
+            let full = entry.attempts.len() >= self.max_attempts(e);
             if entry.answer.is_some() || !open || full {
                 continue;
             }
-            let unused = state.entries.iter().all(|x| x.tries.is_empty());
-            // The agents are alike, so the first attempt may go to agent 0.
+            let unused = state.entries.iter().all(|x| x.attempts.is_empty());
+            // Agents are symmetric, so the first attempt goes to agent 0.
             let agents = if unused { 1 } else { AGENTS };
             for a in 0..agents {
                 let mut to = state.clone();
-                to.entries[e].tries.push(Try {
+                to.entries[e].attempts.push(AttemptState {
                     agent: a,
                     incarnation: state.agents[a].incarnation,
                     sent: state.now,
-                    at: At::Sent,
+                    stage: Stage::Sent,
                     ran: false,
-                    said: None,
+                    reported: None,
                 });
                 next.push((format!("entry {e} sends to agent {a}"), to));
             }
         }
     }
 
-    /// Steps of attempts at their agents.
+    /// Adds the transitions of attempts at their agents.
     fn run(&self, state: &State, next: &mut Vec<(String, State)>) {
         for (e, entry) in state.entries.iter().enumerate() {
-            for (i, attempt) in entry.tries.iter().enumerate() {
-                let step = match attempt.at {
-                    At::Sent => self.admit(state, e, i),
-                    At::Admitted => self.claim(state, e, i),
-                    At::Granted(since) => self.order(state, e, i, since),
-                    At::Over => continue,
+            for (i, attempt) in entry.attempts.iter().enumerate() {
+                let step = match attempt.stage {
+                    Stage::Sent => self.admit(state, e, i),
+                    Stage::Admitted => self.claim(state, e, i),
+                    Stage::Granted(since) => self.execute(state, e, i, since),
+                    Stage::Over => continue,
                 };
                 next.push(step);
             }
@@ -139,37 +141,38 @@
 
     fn admit(&self, state: &State, e: usize, i: usize) -> (String, State) {
         let mut to = state.clone();
-        let attempt = &state.entries[e].tries[i];
+        let attempt = &state.entries[e].attempts[i];
         let agent = &mut to.agents[attempt.agent];
-        let meant = match self.without {
+        let expected = match self.without {
             Without::Incarnation => agent.incarnation,
             _ => attempt.incarnation,
         };
-        let id = name(e, i);
-        let admitted = agent.attempts.admit(&id, meant, at(state.now));
-        let (word, after) = match admitted {
-            Ok(()) => ("admits", At::Admitted),
-            Err(_) => ("refuses", At::Over),
+        let id = attempt_id(e, i);
+        let admitted =
+            agent.attempts.admit(&id, expected, tick_time(state.now));
+        let (verb, after) = match admitted {
+            Ok(()) => ("admits", Stage::Admitted),
+            Err(_) => ("refuses", Stage::Over),
         };
         let a = attempt.agent;
-        to.entries[e].tries[i].at = after;
-        if after == At::Over {
-            self.hear(&mut to, e, i, Ran::DidNotRun);
+        to.entries[e].attempts[i].stage = after;
+        if after == Stage::Over {
+            self.deliver_answer(&mut to, e, i, Ran::DidNotRun);
         }
-        (format!("agent {a} {word} {id}"), to)
+        (format!("agent {a} {verb} {id}"), to)
     }
 
     fn claim(&self, state: &State, e: usize, i: usize) -> (String, State) {
         let mut to = state.clone();
-        let id = name(e, i);
-        let a = state.entries[e].tries[i].agent;
+        let id = attempt_id(e, i);
+        let a = state.entries[e].attempts[i].agent;
         if self.without == Without::Claim {
-            to.entries[e].tries[i].at = At::Granted(state.now);
-            return (format!("agent {a} goes on with {id} unasked"), to);
+            to.entries[e].attempts[i].stage = Stage::Granted(state.now);
+            return (format!("agent {a} skips the claim of {id}"), to);
         }
-        match to.keys.claim(&key(), id.as_str(), at(state.now)) {
+        match to.keys.claim(&key(), id.as_str(), tick_time(state.now)) {
             ClaimDecision::Granted => {
-                to.entries[e].tries[i].at = At::Granted(state.now);
+                to.entries[e].attempts[i].stage = Stage::Granted(state.now);
                 (format!("guard grants the key to {id}"), to)
             }
             ClaimDecision::Refused(err, _) => {
@@ -179,7 +182,7 @@
         }
     }
 
-    fn order(
+    fn execute(
         &self,
         state: &State,
         e: usize,
@@ -187,54 +190,55 @@
         since: u64,
     ) -> (String, State) {
         let mut to = state.clone();
-        let id = name(e, i);
-        let a = state.entries[e].tries[i].agent;
-        let lease = Lease::new(at(since), KeyTable::lease_duration(WINDOW));
-        let fresh = lease.is_valid(at(state.now));
+        let id = attempt_id(e, i);
+        let a = state.entries[e].attempts[i].agent;
+        let lease =
+            Lease::new(tick_time(since), KeyTable::lease_duration(WINDOW));
+        let fresh = lease.is_valid(tick_time(state.now));
         if !fresh && self.without != Without::Lease {
             self.end(&mut to, e, i, Ran::DidNotRun);
-            return (format!("agent {a} finds the grant of {id} old"), to);
+            return (format!("agent {a} finds the lease of {id} expired"), to);
         }
         to.runs.push(state.now);
-        to.entries[e].tries[i].ran = true;
+        to.entries[e].attempts[i].ran = true;
         self.end(&mut to, e, i, Ran::Ran);
         (format!("agent {a} runs {id}"), to)
     }
 
-    /// The end of an attempt at its agent, which settles its key.
+    /// Ends an attempt at its agent and settles its key.
     fn end(&self, to: &mut State, e: usize, i: usize, ran: Ran) {
-        let id = name(e, i);
-        let now = at(to.now);
-        let a = to.entries[e].tries[i].agent;
+        let id = attempt_id(e, i);
+        let now = tick_time(to.now);
+        let a = to.entries[e].attempts[i].agent;
         to.agents[a].attempts.end(&id, ran, now);
         let told = match self.without {
             Without::Settling => Ran::DidNotRun,
             _ => ran,
         };
         to.keys.settle(&key(), id.as_str(), told);
-        to.entries[e].tries[i].at = At::Over;
+        to.entries[e].attempts[i].stage = Stage::Over;
         if ran == Ran::DidNotRun {
-            self.hear(to, e, i, ran);
+            self.deliver_answer(to, e, i, ran);
         }
     }
 
-    /// The agent's answer reaches the entry, unless the entry gave it up.
-    fn hear(&self, to: &mut State, e: usize, i: usize, ran: Ran) {
-        if to.entries[e].tries[i].said.is_none() {
-            to.entries[e].tries[i].said = Some(ran);
+    /// Delivers the agent's answer unless the entry has recorded an outcome.
+    fn deliver_answer(&self, to: &mut State, e: usize, i: usize, ran: Ran) {
+        if to.entries[e].attempts[i].reported.is_none() {
+            to.entries[e].attempts[i].reported = Some(ran);
         }
     }
 
-    /// An entry loses an agent and asks it to revoke; the agent answers, or
-    /// is silent.
-    fn lose(&self, state: &State, next: &mut Vec<(String, State)>) {
+    /// Adds the revocations of pending attempts after an entry has lost its
+    /// agent; the agent answers or stays silent.
+    fn revoke_latest(&self, state: &State, next: &mut Vec<(String, State)>) {
         for (e, entry) in state.entries.iter().enumerate() {
             let Some((i, attempt)) =
-                entry.tries.iter().enumerate().next_back()
+                entry.attempts.iter().enumerate().next_back()
             else {
                 continue;
             };
-            if attempt.said.is_some() {
+            if attempt.reported.is_some() {
                 continue;
             }
             for silent in [false, true] {
@@ -251,37 +255,37 @@
         silent: bool,
     ) -> (String, State) {
         let mut to = state.clone();
-        let id = name(e, i);
-        let attempt = &state.entries[e].tries[i];
+        let id = attempt_id(e, i);
+        let attempt = &state.entries[e].attempts[i];
         let agent = &mut to.agents[attempt.agent];
-        let meant = match self.without {
+        let expected = match self.without {
             Without::Incarnation => agent.incarnation,
             _ => attempt.incarnation,
         };
-        let now = at(state.now);
-        let word = match (silent, self.without) {
+        let now = tick_time(state.now);
+        let answer = match (silent, self.without) {
             (true, _) => None,
             (_, Without::Tombstone) => {
-                // Answered from a copy: nothing is remembered.
-                Some(agent.attempts.clone().revoke(&id, meant, now))
+                // Revokes on a copy, so that no tombstone remains.
+                Some(agent.attempts.clone().revoke(&id, expected, now))
             }
-            _ => Some(agent.attempts.revoke(&id, meant, now)),
+            _ => Some(agent.attempts.revoke(&id, expected, now)),
         };
-        let since = now.since(at(attempt.sent));
+        let since = now.since(tick_time(attempt.sent));
         let ran = match self.without {
-            Without::Settle => word.unwrap_or(Ran::MayHaveRun),
-            _ => revocation_outcome(word, since, self.keep()),
+            Without::Settle => answer.unwrap_or(Ran::MayHaveRun),
+            _ => revocation_outcome(answer, since, self.retention()),
         };
         let entry = &mut to.entries[e];
-        entry.tries[i].said = Some(ran);
-        let more = entry.tries.len() < self.most(e);
-        entry.course.failed(Failure::NoResponse, more);
-        if let RetryDecision::Respond(_, ran) = entry.course.revoked(ran, more)
+        entry.attempts[i].reported = Some(ran);
+        let more = entry.attempts.len() < self.max_attempts(e);
+        entry.retry.failed(Failure::NoResponse, more);
+        if let RetryDecision::Respond(_, ran) = entry.retry.revoked(ran, more)
         {
             entry.answer = Some(ran);
         }
-        let said = word.map_or("silence", Ran::as_str);
-        (format!("entry {e} revokes {id}: {said}"), to)
+        let answer_text = answer.map_or("silence", Ran::as_str);
+        (format!("entry {e} revokes {id}: {answer_text}"), to)
     }
 
     fn restart(&self, state: &State, next: &mut Vec<(String, State)>) {
@@ -292,13 +296,14 @@
             let mut to = state.clone();
             to.restarts += 1;
             let incarnation = state.agents[a].incarnation + 1;
-            let attempts = self.attempts(incarnation);
+            let attempts = self.attempt_table(incarnation);
             to.agents[a] = Agent { incarnation, attempts };
             for entry in &mut to.entries {
-                for attempt in &mut entry.tries {
-                    let inside = !matches!(attempt.at, At::Sent | At::Over);
+                for attempt in &mut entry.attempts {
+                    let inside =
+                        !matches!(attempt.stage, Stage::Sent | Stage::Over);
                     if attempt.agent == a && inside {
-                        attempt.at = At::Over;
+                        attempt.stage = Stage::Over;
                     }
                 }
             }
@@ -308,9 +313,9 @@
         to.restarts += 1;
         let start = match self.without {
             Without::Deafness => Time::ZERO,
-            _ => at(state.now),
+            _ => tick_time(state.now),
         };
-        to.keys = self.keys(start);
+        to.keys = self.key_table(start);
         next.push(("the guard restarts".to_string(), to));
     }
 }
@@ -319,20 +324,20 @@
     type State = State;
 
     fn start(&self) -> State {
-        let agent = Agent { incarnation: 1, attempts: self.attempts(1) };
+        let agent = Agent { incarnation: 1, attempts: self.attempt_table(1) };
         let entry = Entry {
-            tries: Vec::new(),
-            course: RequestRetry::new(false),
+            attempts: Vec::new(),
+            retry: RequestRetry::new(false),
             answer: None,
         };
-        // The guard has been up for long: exploration starts when it hears.
-        let deaf = (WINDOW + KeyTable::lease_duration(WINDOW)).as_millis()
-            as u64
-            / TICK;
+        // Starts when the guard's waiting period after its start has passed.
+        let start_tick = (WINDOW + KeyTable::lease_duration(WINDOW))
+            .as_millis() as u64
+            / TICK_MS;
         State {
-            now: deaf,
+            now: start_tick,
             restarts: 0,
-            keys: self.keys(Time::ZERO),
+            keys: self.key_table(Time::ZERO),
             agents: vec![agent; AGENTS],
             entries: vec![entry; ENTRIES],
             runs: Vec::new(),
@@ -343,31 +348,31 @@
         let mut next = Vec::new();
         self.send(state, &mut next);
         self.run(state, &mut next);
-        self.lose(state, &mut next);
+        self.revoke_latest(state, &mut next);
         self.restart(state, &mut next);
-        let deaf = self.start().now;
-        if state.now < deaf + self.bounds.ticks {
+        let start_tick = self.start().now;
+        if state.now < start_tick + self.bounds.ticks {
             let mut to = state.clone();
             to.now += 1;
-            next.push(("a second passes".to_string(), to));
+            next.push(("the clock advances by one second".to_string(), to));
         }
         next
     }
 
-    fn broken(&self, state: &State) -> Option<&'static str> {
-        let window = WINDOW.as_millis() as u64 / TICK;
+    fn violation(&self, state: &State) -> Option<&'static str> {
+        let window = WINDOW.as_millis() as u64 / TICK_MS;
         for pair in state.runs.windows(2) {
             if pair[1] - pair[0] < window {
                 return Some("a key ran twice within its window");
             }
         }
         for entry in &state.entries {
-            for attempt in &entry.tries {
-                if attempt.ran && attempt.said == Some(Ran::DidNotRun) {
+            for attempt in &entry.attempts {
+                if attempt.ran && attempt.reported == Some(Ran::DidNotRun) {
                     return Some("said not to have run, and ran");
                 }
             }
-            let ran = entry.tries.iter().any(|t| t.ran);
+            let ran = entry.attempts.iter().any(|t| t.ran);
             if ran && entry.answer == Some(Ran::DidNotRun) {
                 return Some("a caller was told 'did not run', and it ran");
             }
--- a/crates/model/src/once/state.rs
+++ b/crates/model/src/once/state.rs
@@ -1,30 +1,30 @@
-//! What one state of the explored system holds.
+//! The state of the at-most-once specification.
 
 use stairhinge::Ran;
 use stairhinge::request::{AttemptTable, KeyTable, RequestRetry};
 
-/// Where one attempt is at its agent.
+/// Stage of one attempt at its agent.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-pub(super) enum At {
-    /// On its way.
+pub(super) enum Stage {
+    /// In transit to the agent.
     Sent,
-    /// Admitted, and not yet granted.
+    /// Admitted by the agent; its key is not granted yet.
     Admitted,
-    /// Granted at this time.
+    /// Key granted at this tick.
     Granted(u64),
-    /// Over, or lost with the process.
+    /// Ended, or lost in a restart of the agent.
     Over,
 }
 
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub(super) struct Try {
+pub(super) struct AttemptState {
     pub(super) agent: usize,
     pub(super) incarnation: u64,
     pub(super) sent: u64,
-    pub(super) at: At,
+    pub(super) stage: Stage,
     pub(super) ran: bool,
-    /// What the entry was told or concluded of it.
-    pub(super) said: Option<Ran>,
+    /// The outcome that the entry received or concluded.
+    pub(super) reported: Option<Ran>,
 }
 
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
@@ -35,13 +35,13 @@
 
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub(super) struct Entry {
-    pub(super) tries: Vec<Try>,
-    pub(super) course: RequestRetry,
-    /// The final answer, once given.
+    pub(super) attempts: Vec<AttemptState>,
+    pub(super) retry: RequestRetry,
+    /// The final answer to the caller, once given.
     pub(super) answer: Option<Ran>,
 }
 
-/// A state of the whole system.
+/// A state of the modelled system.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct State {
     pub(super) now: u64,
@@ -49,6 +49,6 @@
     pub(super) keys: KeyTable,
     pub(super) agents: Vec<Agent>,
     pub(super) entries: Vec<Entry>,
-    /// When the request ran.
+    /// Ticks at which the request ran.
     pub(super) runs: Vec<u64>,
 }
--- a/crates/model/src/once/without.rs
+++ b/crates/model/src/once/without.rs
@@ -1,25 +1,25 @@
-//! The rules of the protocol, each left out by one mutant.
+//! The rules of the at-most-once protocol, each omitted by one mutant.
 
-/// A rule that a mutant leaves out.
+/// A protocol rule that a mutant omits.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Without {
-    /// Nothing: the protocol as it is.
+    /// No rule: the unmodified protocol.
     Nothing,
     /// A revoked attempt leaves a tombstone.
     Tombstone,
-    /// An attempt names the incarnation that it is meant for.
+    /// An attempt names the agent incarnation that it is addressed to.
     Incarnation,
-    /// A restarted guard is deaf until all it granted has lapsed.
+    /// A restarted guard grants nothing until its earlier grants have expired.
     Deafness,
-    /// A grant may be acted on for half a window only.
+    /// A lease on a grant lasts for only half a window.
     Lease,
-    /// A grant is kept longer than it may be acted on.
+    /// The guard remembers a grant for longer than its lease.
     Keeping,
-    /// A request that must not repeat claims its key.
+    /// A request that must not repeat claims its key before it runs.
     Claim,
-    /// Only what certainly did not run gives its key back.
+    /// Only an attempt that certainly did not run releases its key.
     Settling,
-    /// An old "did not run" is not believed.
+    /// A "did not run" answer is trusted only for half the retention time.
     Settle,
 }
 
--- a/crates/model/src/quarantine.rs
+++ b/crates/model/src/quarantine.rs
@@ -1,11 +1,11 @@
-//! Quarantine: which requests are kept from replicas, and by whom.
+//! Quarantine: which entries withhold a request that crashes replicas.
 //!
-//! Entries send one request, several at a time, to replicas that may end all
-//! together, as a rack does, or bring a whole answer; a poisoned request never
-//! has one. Entries tell one another what they know, in messages that come in
-//! any order or never. What is known and decided is that of
-//! [`stairhinge::poison::PoisonTable`]; time stands still, so there are no
-//! trials.
+//! Entries send one request concurrently to replicas. The replicas may all
+//! crash together, as in a rack failure, or return a complete answer; a
+//! poisoned request never gets one. Entries exchange their records in messages
+//! that arrive in any order or never. [`stairhinge::poison::PoisonTable`]
+//! keeps the records and makes the decisions; the clock doesn't advance, so
+//! there are no trials.
 
 use std::sync::Arc;
 
@@ -16,16 +16,16 @@
 
 use crate::Spec;
 
-/// A rule that a mutant leaves out.
+/// A protocol rule that a mutant omits.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Without {
-    /// Nothing: the protocol as it is.
+    /// No rule: the unmodified protocol.
     Nothing,
-    /// An end counts on what was known when its run was sent.
+    /// A crash counts on top of the suspicion at the time its run was sent.
     Turn,
-    /// A whole answer clears the request.
+    /// A complete answer clears the request.
     Clearing,
-    /// Of two words on a request the greater one counts.
+    /// The greater of two suspicions of a request takes precedence.
     Order,
 }
 
@@ -38,45 +38,49 @@
 /// The specification.
 #[derive(Clone, Copy, Debug)]
 pub struct Quarantine {
-    /// The rule left out.
+    /// The omitted rule.
     pub without: Without,
     /// Entries that send the request.
     pub entries: usize,
-    /// Whether it ever has a whole answer.
-    pub sound: bool,
-    /// The most runs, and the most at a time.
+    /// Whether the request can get a complete answer.
+    pub answerable: bool,
+    /// Maximum runs in total.
     pub runs: u8,
-    /// See `runs`.
-    pub at_once: usize,
-    /// How often replicas end.
-    pub falls: u8,
+    /// Maximum concurrent runs.
+    pub max_in_progress: usize,
+    /// Maximum crashes of the replicas.
+    pub crashes: u8,
 }
 
-/// What is explored, and with which rule left out: many entries with a sound
-/// request, one entry alone, and a poisoned request; then each mutant where its
-/// rule is needed.
+/// The explored cases, each with its omitted rule: two entries and a single
+/// entry with an answerable request, and two with a poisoned one; then each
+/// mutant in a case that needs its rule.
 pub const CASES: [(Without, Quarantine); 6] = [
-    (Without::Nothing, MANY),
-    (Without::Nothing, ALONE),
+    (Without::Nothing, TWO_ENTRIES),
+    (Without::Nothing, SINGLE_ENTRY),
     (Without::Nothing, POISONED),
-    (Without::Turn, Quarantine { without: Without::Turn, ..MANY }),
-    (Without::Clearing, Quarantine { without: Without::Clearing, ..ALONE }),
+    (Without::Turn, Quarantine { without: Without::Turn, ..TWO_ENTRIES }),
+    (
+        Without::Clearing,
+        Quarantine { without: Without::Clearing, ..SINGLE_ENTRY },
+    ),
     (Without::Order, Quarantine { without: Without::Order, ..POISONED }),
 ];
 
-const MANY: Quarantine = Quarantine {
+const TWO_ENTRIES: Quarantine = Quarantine {
     without: Without::Nothing,
     entries: 2,
-    sound: true,
+    answerable: true,
     runs: 5,
-    at_once: 3,
-    falls: 2,
+    max_in_progress: 3,
+    crashes: 2,
 };
 
-const ALONE: Quarantine = Quarantine { entries: 1, runs: 8, falls: 5, ..MANY };
+const SINGLE_ENTRY: Quarantine =
+    Quarantine { entries: 1, runs: 8, crashes: 5, ..TWO_ENTRIES };
 
 const POISONED: Quarantine =
-    Quarantine { sound: false, runs: 6, falls: 6, ..MANY };
+    Quarantine { answerable: false, runs: 6, crashes: 6, ..TWO_ENTRIES };
 
 /// A run of the request at a replica.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
@@ -85,22 +89,22 @@
     sent: Suspicion,
 }
 
-/// A state of the whole system.
+/// A state of the modelled system.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct State {
-    /// What each entry knows.
+    /// The suspicion recorded at each entry.
     known: Vec<Suspicion>,
     runs: Vec<Run>,
-    /// Words on their way: to which entry, and what they say.
-    words: Vec<(usize, Suspicion)>,
+    /// Messages in transit: the receiving entry and the suspicion.
+    messages: Vec<(usize, Suspicion)>,
     sent: u8,
-    /// How often replicas ended, in all and since the last whole answer.
-    falls: u8,
-    falls_since: u8,
-    /// Whether an entry sent it on that had known it quarantined.
-    sent_on: bool,
-    /// Entries that have known it quarantined, with no whole answer since.
-    knew: Vec<bool>,
+    /// Crashes of the replicas, in total and since the last complete answer.
+    crashes: u8,
+    crashes_since_answer: u8,
+    /// Whether an entry sent the request after recording its quarantine.
+    sent_despite_quarantine: bool,
+    /// Whether each entry knew of a quarantine since the last complete answer.
+    knew_quarantined: Vec<bool>,
 }
 
 const NOW: Time = Time::from_millis(1);
@@ -115,7 +119,7 @@
     PoisonRecord { request, suspicion, age_ms: 0, replicas: Vec::new() }
 }
 
-/// Returns the table of an entry that knows so much.
+/// Returns a table that holds the given suspicion.
 fn table(known: Suspicion) -> PoisonTable {
     let mut table = PoisonTable::default();
     table.merge(vec![record(known)], NOW);
@@ -125,18 +129,19 @@
 impl Quarantine {
     fn learn(&self, state: &mut State, entry: usize, next: Suspicion) {
         state.known[entry] = next;
-        state.knew[entry] |= next.is_quarantined();
+        state.knew_quarantined[entry] |= next.is_quarantined();
         for other in 0..self.entries {
             if other != entry {
-                state.words.push((other, next));
+                state.messages.push((other, next));
             }
         }
-        state.words.sort_unstable();
-        state.words.dedup();
+        state.messages.sort_unstable();
+        state.messages.dedup();
     }
 
     fn send(&self, state: &State, next: &mut Vec<(String, State)>) {
-        if state.runs.len() >= self.at_once || state.sent >= self.runs {
+        if state.runs.len() >= self.max_in_progress || state.sent >= self.runs
+        {
             return;
         }
         for entry in 0..self.entries {
@@ -145,20 +150,20 @@
             let Admission::Admitted(sent) = admission else { continue };
             let mut to = state.clone();
             to.sent += 1;
-            to.sent_on |= to.knew[entry];
+            to.sent_despite_quarantine |= to.knew_quarantined[entry];
             to.runs.push(Run { entry, sent });
             to.runs.sort_unstable();
-            next.push((format!("entry {entry} sends it"), to));
+            next.push((format!("entry {entry} sends the request"), to));
         }
     }
 
-    fn fall(&self, state: &State, next: &mut Vec<(String, State)>) {
-        if state.falls >= self.falls || state.runs.is_empty() {
+    fn crash(&self, state: &State, next: &mut Vec<(String, State)>) {
+        if state.crashes >= self.crashes || state.runs.is_empty() {
             return;
         }
         let mut to = state.clone();
-        to.falls += 1;
-        to.falls_since += 1;
+        to.crashes += 1;
+        to.crashes_since_answer += 1;
         for run in std::mem::take(&mut to.runs) {
             let now_known = to.known[run.entry];
             let mut table = table(now_known);
@@ -170,41 +175,44 @@
             table.record_crash(request(), sent, &replica, NOW);
             self.learn(&mut to, run.entry, table.suspicion(request()));
         }
-        next.push(("its replicas end".to_string(), to));
+        next.push(("the replicas crash".to_string(), to));
     }
 
     fn answer(&self, state: &State, next: &mut Vec<(String, State)>) {
-        if !self.sound {
+        if !self.answerable {
             return;
         }
         for (index, run) in state.runs.iter().enumerate() {
             let mut to = state.clone();
             to.runs.remove(index);
-            to.falls_since = 0;
-            to.knew = vec![false; self.entries];
+            to.crashes_since_answer = 0;
+            to.knew_quarantined = vec![false; self.entries];
             if self.without != Without::Clearing {
                 let mut table = table(to.known[run.entry]);
                 table.record_answer(request(), NOW);
                 self.learn(&mut to, run.entry, table.suspicion(request()));
             }
-            next.push((format!("entry {} has its answer", run.entry), to));
+            next.push((
+                format!("entry {} receives the answer", run.entry),
+                to,
+            ));
         }
     }
 
-    fn hear(&self, state: &State, next: &mut Vec<(String, State)>) {
-        for (index, (entry, word)) in state.words.iter().enumerate() {
+    fn receive(&self, state: &State, next: &mut Vec<(String, State)>) {
+        for (index, (entry, message)) in state.messages.iter().enumerate() {
             let mut lost = state.clone();
-            lost.words.remove(index);
+            lost.messages.remove(index);
             let mut to = lost.clone();
-            next.push((format!("a word to entry {entry} is lost"), lost));
+            next.push((format!("a message to entry {entry} is lost"), lost));
             let mut table = table(to.known[*entry]);
-            table.merge(vec![record(*word)], NOW);
+            table.merge(vec![record(*message)], NOW);
             to.known[*entry] = match self.without {
-                Without::Order => *word,
+                Without::Order => *message,
                 _ => table.suspicion(request()),
             };
-            to.knew[*entry] |= to.known[*entry].is_quarantined();
-            next.push((format!("entry {entry} hears a word"), to));
+            to.knew_quarantined[*entry] |= to.known[*entry].is_quarantined();
+            next.push((format!("entry {entry} receives a message"), to));
         }
     }
 }
@@ -216,35 +224,37 @@
         State {
             known: vec![Suspicion::default(); self.entries],
             runs: Vec::new(),
-            words: Vec::new(),
+            messages: Vec::new(),
             sent: 0,
-            falls: 0,
-            falls_since: 0,
-            sent_on: false,
-            knew: vec![false; self.entries],
+            crashes: 0,
+            crashes_since_answer: 0,
+            sent_despite_quarantine: false,
+            knew_quarantined: vec![false; self.entries],
         }
     }
 
     fn steps(&self, state: &State) -> Vec<(String, State)> {
         let mut next = Vec::new();
         self.send(state, &mut next);
-        self.fall(state, &mut next);
+        self.crash(state, &mut next);
         self.answer(state, &mut next);
-        self.hear(state, &mut next);
+        self.receive(state, &mut next);
         next
     }
 
-    fn broken(&self, state: &State) -> Option<&'static str> {
-        if state.sent_on && !self.sound {
+    fn violation(&self, state: &State) -> Option<&'static str> {
+        if state.sent_despite_quarantine && !self.answerable {
             return Some("sent on by an entry that knew it quarantined");
         }
         let held = state.known.iter().any(|k| k.is_quarantined());
-        if held && state.falls < Suspicion::QUARANTINE_THRESHOLD {
+        if held && state.crashes < Suspicion::QUARANTINE_THRESHOLD {
             return Some("held though replicas ended less than three times");
         }
-        // An entry alone hears of all answers.
+        // A single entry receives every answer.
         let alone = self.entries == 1;
-        if held && alone && state.falls_since < Suspicion::QUARANTINE_THRESHOLD
+        if held
+            && alone
+            && state.crashes_since_answer < Suspicion::QUARANTINE_THRESHOLD
         {
             return Some("held though it was answered in between");
         }
--- a/crates/model/src/send_once.rs
+++ b/crates/model/src/send_once.rs
@@ -1,21 +1,20 @@
-//! Direct serving: what may be sent again, and what callers are told.
+//! Direct serving: which requests are retried, and what callers are told.
 //!
-//! An entry sends one request to replicas, one after the other. A request
-//! that was sent may arrive at any later time or never, also after the entry
-//! has lost the connection; a replica runs it or declines it, and its answer
-//! may be lost. What follows after each attempt is decided by
-//! [`stairhinge::direct::next_step`].
+//! An entry sends one request to replicas sequentially. A sent request may
+//! arrive after any delay or never, even after the entry has lost the
+//! connection; a replica runs or declines it, and its answer may be lost.
+//! [`stairhinge::direct::next_step`] decides what follows each attempt.
 
 use stairhinge::direct::{AttemptResult, NextStep, Repeat, next_step};
 
 use crate::Spec;
 
-/// A rule that a mutant leaves out.
+/// A protocol rule that a mutant omits.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Without {
-    /// Nothing: the protocol as it is.
+    /// No rule: the unmodified protocol.
     Nothing,
-    /// Silence is not the replica's word that it did not run the request.
+    /// A missing response doesn't prove that the replica didn't run a request.
     OwnWord,
     /// An entry remembers that an earlier attempt may have run.
     Memory,
@@ -29,18 +28,18 @@
 /// The specification.
 #[derive(Clone, Copy, Debug)]
 pub struct SendOnce {
-    /// The rule left out.
+    /// The omitted rule.
     pub without: Without,
-    /// What may be done with the request.
+    /// Whether the request may be repeated.
     pub repeat: Repeat,
     /// The most attempts.
     pub attempts: usize,
 }
 
-/// Where the request of one attempt is.
+/// Delivery state of one attempt.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-enum Place {
-    OnItsWay,
+enum Delivery {
+    InTransit,
     Lost,
     Ran,
     Declined,
@@ -48,29 +47,29 @@
 
 /// What the caller was told.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-enum Told {
+enum CallerOutcome {
     Answer,
     DidNotRun,
     MayHaveRun,
 }
 
-/// A state of the whole system.
+/// A state of the modelled system.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct State {
-    /// The attempts that were sent.
-    sent: Vec<Place>,
-    /// Attempts made, also those for which no connection came up.
-    made: usize,
-    /// Whether the entry waits for the answer to the newest one.
+    /// Delivery states of the attempts that were sent.
+    sent: Vec<Delivery>,
+    /// Number of attempts, including those that failed to connect.
+    attempts_made: usize,
+    /// Whether the entry awaits the answer to the latest attempt.
     waiting: bool,
-    /// What the entry remembers of earlier attempts.
+    /// Whether an earlier attempt may have run.
     may_have_run: bool,
-    told: Option<Told>,
+    outcome: Option<CallerOutcome>,
 }
 
 impl SendOnce {
-    /// Goes on after an attempt that brought no answer.
-    fn after(&self, state: &State, result: AttemptResult) -> State {
+    /// Returns the state after an attempt that got no answer.
+    fn after_failure(&self, state: &State, result: AttemptResult) -> State {
         let mut to = state.clone();
         to.waiting = false;
         to.may_have_run |= result == AttemptResult::NoResponse;
@@ -81,62 +80,62 @@
             }
             _ => result,
         };
-        let may_retry = to.made < self.attempts;
+        let may_retry = to.attempts_made < self.attempts;
         match next_step(seen, self.repeat, known, may_retry) {
             NextStep::Retry => {}
-            NextStep::Refuse => to.told = Some(Told::DidNotRun),
-            NextStep::Fail => to.told = Some(Told::MayHaveRun),
+            NextStep::Refuse => to.outcome = Some(CallerOutcome::DidNotRun),
+            NextStep::Fail => to.outcome = Some(CallerOutcome::MayHaveRun),
         }
         to
     }
 
     fn send(&self, state: &State, next: &mut Vec<(String, State)>) {
-        let idle = !state.waiting && state.told.is_none();
-        if !idle || state.made >= self.attempts {
+        let idle = !state.waiting && state.outcome.is_none();
+        if !idle || state.attempts_made >= self.attempts {
             return;
         }
         let mut to = state.clone();
-        to.made += 1;
-        let unsent = self.after(&to, AttemptResult::Unsent);
-        next.push(("no connection comes up".to_string(), unsent));
-        to.sent.push(Place::OnItsWay);
+        to.attempts_made += 1;
+        let unsent = self.after_failure(&to, AttemptResult::Unsent);
+        next.push(("the connection attempt fails".to_string(), unsent));
+        to.sent.push(Delivery::InTransit);
         to.waiting = true;
-        next.push((format!("attempt {} is sent", to.made), to));
+        next.push((format!("attempt {} is sent", to.attempts_made), to));
     }
 
-    fn arrive(state: &State, next: &mut Vec<(String, State)>) {
-        for (i, place) in state.sent.iter().enumerate() {
-            if *place != Place::OnItsWay {
+    fn deliver(state: &State, next: &mut Vec<(String, State)>) {
+        for (i, delivery) in state.sent.iter().enumerate() {
+            if *delivery != Delivery::InTransit {
                 continue;
             }
-            for (what, place) in [
-                ("is lost", Place::Lost),
-                ("runs", Place::Ran),
-                ("is declined", Place::Declined),
+            for (what, delivery) in [
+                ("is lost", Delivery::Lost),
+                ("runs", Delivery::Ran),
+                ("is declined", Delivery::Declined),
             ] {
                 let mut to = state.clone();
-                to.sent[i] = place;
-                next.push((format!("sending {i} {what}"), to));
+                to.sent[i] = delivery;
+                next.push((format!("sent request {i} {what}"), to));
             }
         }
     }
 
-    fn hear(&self, state: &State, next: &mut Vec<(String, State)>) {
+    fn receive(&self, state: &State, next: &mut Vec<(String, State)>) {
         if !state.waiting {
             return;
         }
-        let silent = self.after(state, AttemptResult::NoResponse);
+        let silent = self.after_failure(state, AttemptResult::NoResponse);
         next.push(("the connection breaks".to_string(), silent));
         match state.sent.last() {
-            Some(Place::Ran) => {
+            Some(Delivery::Ran) => {
                 let mut to = state.clone();
                 to.waiting = false;
-                to.told = Some(Told::Answer);
+                to.outcome = Some(CallerOutcome::Answer);
                 next.push(("its answer arrives".to_string(), to));
             }
-            Some(Place::Declined) => {
-                let to = self.after(state, AttemptResult::Declined);
-                next.push(("its no arrives".to_string(), to));
+            Some(Delivery::Declined) => {
+                let to = self.after_failure(state, AttemptResult::Declined);
+                next.push(("its refusal arrives".to_string(), to));
             }
             _ => {}
         }
@@ -149,27 +148,27 @@
     fn start(&self) -> State {
         State {
             sent: Vec::new(),
-            made: 0,
+            attempts_made: 0,
             waiting: false,
             may_have_run: false,
-            told: None,
+            outcome: None,
         }
     }
 
     fn steps(&self, state: &State) -> Vec<(String, State)> {
         let mut next = Vec::new();
         self.send(state, &mut next);
-        SendOnce::arrive(state, &mut next);
-        self.hear(state, &mut next);
+        SendOnce::deliver(state, &mut next);
+        self.receive(state, &mut next);
         next
     }
 
-    fn broken(&self, state: &State) -> Option<&'static str> {
-        let runs = state.sent.iter().filter(|p| **p == Place::Ran).count();
+    fn violation(&self, state: &State) -> Option<&'static str> {
+        let runs = state.sent.iter().filter(|p| **p == Delivery::Ran).count();
         if runs > 1 && self.repeat == Repeat::Never {
             return Some("a request that must not repeat ran twice");
         }
-        if runs > 0 && state.told == Some(Told::DidNotRun) {
+        if runs > 0 && state.outcome == Some(CallerOutcome::DidNotRun) {
             return Some("said not to have run, and ran");
         }
         None
--- a/crates/model/tests/model.rs
+++ b/crates/model/tests/model.rs
@@ -1,4 +1,4 @@
-//! The core protocol holds, and each rule's mutant fails as it must.
+//! The core protocol keeps its properties, and each mutant violates one.
 
 use stairhinge::direct::Repeat;
 use stairhinge_model::{
@@ -12,38 +12,43 @@
 
 const GATE: gate::Bounds = gate::Bounds { requests: 1, orders: 3 };
 
-fn holds(what: &str, outcome: &Outcome, least: usize) {
+fn holds(what: &str, outcome: &Outcome, min_states: usize) {
     println!("{what}: {} states", outcome.states);
-    assert_eq!(outcome.finding, None, "{what}");
-    assert!(outcome.states >= least, "{what}: {} states", outcome.states);
+    assert_eq!(outcome.counterexample, None, "{what}");
+    assert!(outcome.states >= min_states, "{what}: {} states", outcome.states);
 }
 
-fn fails(rule: &str, outcome: &Outcome, property: &str) {
-    let found = outcome.finding.as_ref();
-    let found = found.unwrap_or_else(|| panic!("{rule} does not bite"));
-    assert_eq!(found.property, property, "{rule}: {:#?}", found.trace);
-    assert!(!found.trace.is_empty());
+fn violates(rule: &str, outcome: &Outcome, property: &str) {
+    let counterexample = outcome.counterexample.as_ref();
+    let counterexample = counterexample
+        .unwrap_or_else(|| panic!("no violation found without {rule}"));
+    assert_eq!(
+        counterexample.property, property,
+        "{rule}: {:#?}",
+        counterexample.trace
+    );
+    assert!(!counterexample.trace.is_empty());
 }
 
 #[test]
 fn at_most_once_holds_and_each_rule_is_needed() {
     let run = |without| explore(&once::Once { without, bounds: ONCE });
     holds("at most once", &run(once::Without::Nothing), 200_000);
-    let twice = "a key ran twice within its window";
-    let lied = "said not to have run, and ran";
+    let ran_twice = "a key ran twice within its window";
+    let false_did_not_run = "said not to have run, and ran";
     let table = [
-        (once::Without::Tombstone, lied),
-        (once::Without::Incarnation, lied),
-        (once::Without::Deafness, twice),
-        (once::Without::Lease, twice),
-        (once::Without::Keeping, twice),
-        (once::Without::Claim, twice),
-        (once::Without::Settling, twice),
-        (once::Without::Settle, lied),
+        (once::Without::Tombstone, false_did_not_run),
+        (once::Without::Incarnation, false_did_not_run),
+        (once::Without::Deafness, ran_twice),
+        (once::Without::Lease, ran_twice),
+        (once::Without::Keeping, ran_twice),
+        (once::Without::Claim, ran_twice),
+        (once::Without::Settling, ran_twice),
+        (once::Without::Settle, false_did_not_run),
     ];
     assert_eq!(table.len(), once::Without::RULES.len());
     for (rule, property) in table {
-        fails(&format!("{rule:?}"), &run(rule), property);
+        violates(&format!("{rule:?}"), &run(rule), property);
     }
 }
 
@@ -51,16 +56,16 @@
 fn configuration_holds_and_each_rule_is_needed() {
     let run = |without| explore(&config::Config { without, bounds: CONFIG });
     holds("configuration", &run(config::Without::Nothing), 50_000);
-    let again = "work ran under an older revision again";
+    let older_revision = "work ran under an older revision again";
     let table = [
         (config::Without::Monotony, "a process went back to an older one"),
-        (config::Without::Floor, again),
-        (config::Without::Telling, again),
+        (config::Without::Floor, older_revision),
+        (config::Without::Telling, older_revision),
         (config::Without::Equality, "an old configuration took effect"),
     ];
     assert_eq!(table.len(), config::Without::RULES.len());
     for (rule, property) in table {
-        fails(&format!("{rule:?}"), &run(rule), property);
+        violates(&format!("{rule:?}"), &run(rule), property);
     }
 }
 
@@ -80,7 +85,7 @@
         "an order was given with work in progress",
     ];
     for ((rule, fences), property) in gate::CASES.into_iter().zip(properties) {
-        fails(&format!("{rule:?}"), &run(rule, fences), property);
+        violates(&format!("{rule:?}"), &run(rule, fences), property);
     }
 }
 
@@ -93,15 +98,15 @@
         let what = format!("direct serving, {repeat:?}");
         holds(&what, &run(send_once::Without::Nothing, repeat), 40);
     }
-    let twice = "a request that must not repeat ran twice";
-    let lied = "said not to have run, and ran";
+    let ran_twice = "a request that must not repeat ran twice";
+    let false_did_not_run = "said not to have run, and ran";
     let table = [
-        (send_once::Without::OwnWord, Repeat::Never, twice),
-        (send_once::Without::Memory, Repeat::Freely, lied),
+        (send_once::Without::OwnWord, Repeat::Never, ran_twice),
+        (send_once::Without::Memory, Repeat::Freely, false_did_not_run),
     ];
     assert_eq!(table.len(), send_once::Without::RULES.len());
     for (rule, repeat, property) in table {
-        fails(&format!("{rule:?}"), &run(rule, repeat), property);
+        violates(&format!("{rule:?}"), &run(rule, repeat), property);
     }
 }
 
@@ -128,7 +133,7 @@
         match rule {
             None => holds(&format!("quarantine, {spec:?}"), &outcome, 100),
             Some((_, property)) => {
-                fails(&format!("{without:?}"), &outcome, property);
+                violates(&format!("{without:?}"), &outcome, property);
             }
         }
     }
